--- a/cassiatally/assigner/assigner.go
+++ b/cassiatally/assigner/assigner.go
@@ -333,9 +333,9 @@
 	return changed
 }
 
-// KnownTo returns the offset for which the table speaks: what this node has read
+// CoveredTo returns the offset for which the table speaks: what this node has read
 // of the log itself, or what its peers had read when they passed on their tables.
-func (a *Assigner) KnownTo() cassiatally.Offset {
+func (a *Assigner) CoveredTo() cassiatally.Offset {
 	var known cassiatally.Offset
 	first := true
 	for i := range a.shards {
@@ -355,7 +355,7 @@
 // Table returns the assignments in force, for a peer that is behind. Assignments
 // that a gap in the log has made doubtful are left out.
 func (a *Assigner) Table() cassiatally.ShardTable {
-	table := cassiatally.ShardTable{Next: a.KnownTo()}
+	table := cassiatally.ShardTable{Next: a.CoveredTo()}
 	for i := range a.shards {
 		if a.shards[i].inForce.Epoch > 0 && a.based(&a.shards[i]) {
 			table.Assignments = append(table.Assignments, a.shards[i].inForce)
--- a/cassiatally/faultswitch/faultswitch.go
+++ b/cassiatally/faultswitch/faultswitch.go
@@ -46,8 +46,8 @@
 	AnswerLength Mechanism = "answer_length"
 	// AnswerTag takes an answer that is tagged as that of another request.
 	AnswerTag Mechanism = "answer_tag"
-	// CrashNews answers broken runs before the other nodes know of the crash.
-	CrashNews Mechanism = "crash_news"
+	// CrashReports answers broken runs before the other nodes know of the crash.
+	CrashReports Mechanism = "crash_news"
 	// SuspectsWait runs requests that were in flight in a crash side by side.
 	SuspectsWait Mechanism = "suspects_wait"
 	// LostRetries leaves requests that lost their endpoint to the retry budget of
--- a/cassiatally/follower/follower.go
+++ b/cassiatally/follower/follower.go
@@ -140,7 +140,7 @@
 		f.noteBase(now, r)
 	}
 	f.caughtUp = len(b.Records) == 0
-	f.settled = f.settled || (f.caughtUp && f.folder.Based())
+	f.settled = f.settled || (f.caughtUp && f.folder.HasBase())
 	return append(f.adopt(), f.read()...)
 }
 
--- a/cassiatally/publisher/publisher.go
+++ b/cassiatally/publisher/publisher.go
@@ -56,9 +56,9 @@
 type Result struct {
 	Record cassiatally.SheetRecord
 	Offset cassiatally.Offset
-	// Found is set when the log had the accepted record before this publication
+	// AlreadyAccepted is set when the log had the accepted record before this publication
 	// appended anything.
-	Found bool
+	AlreadyAccepted bool
 }
 
 // Conflict tells that another sheet is in force instead.
@@ -131,13 +131,13 @@
 			return Result{}, err
 		}
 	}
-	if a.won == nil && a.sent && !a.reader.Folder.Based() {
+	if a.won == nil && a.sent && !a.reader.Folder.HasBase() {
 		return Result{}, a.unresolved(errors.New("the log dropped records before they were read"))
 	}
 	if a.won == nil {
 		return Result{}, a.conflict()
 	}
-	return Result{Record: a.record, Offset: *a.won, Found: !a.sent}, nil
+	return Result{Record: a.record, Offset: *a.won, AlreadyAccepted: !a.sent}, nil
 }
 
 func (a *attempt) note(e sheetreader.Entry) {
@@ -155,7 +155,7 @@
 // accepted, or another version than basedOn is in force.
 func (a *attempt) decided() bool {
 	current, _ := a.reader.Folder.Current()
-	return a.won != nil || !a.reader.Folder.Based() || current.Version != a.record.BasedOn
+	return a.won != nil || !a.reader.Folder.HasBase() || current.Version != a.record.BasedOn
 }
 
 // append sends the record once and reads back. It returns without an error when
@@ -229,7 +229,7 @@
 	detail := fmt.Sprintf("the sheet is based on version %d, but version %d by %s is in force; compare the sheets and publish based on version %d",
 		a.record.BasedOn, current.Version, current.Publisher, current.Version)
 	switch {
-	case !a.reader.Folder.Based():
+	case !a.reader.Folder.HasBase():
 		detail = "the log no longer has the record of the version in force; publish again after a node has appended it again"
 	case !ok:
 		detail = fmt.Sprintf("the sheet is based on version %d, but no version is in force; publish based on version 0", a.record.BasedOn)
--- a/cassiatally/runner/crash.go
+++ b/cassiatally/runner/crash.go
@@ -90,7 +90,7 @@
 	r.quarantine.Crashed(now, inFlight)
 	r.endpoint.State = cassiatally.EndpointNone
 	peers := slices.Clone(r.peers[r.endpoint.Service])
-	if len(peers) == 0 || faultswitch.Off(faultswitch.CrashNews) {
+	if len(peers) == 0 || faultswitch.Off(faultswitch.CrashReports) {
 		return actions
 	}
 	c := &crash{
--- a/cassiatally/sheetfolder/folder.go
+++ b/cassiatally/sheetfolder/folder.go
@@ -109,7 +109,7 @@
 
 func (f *Folder) accepts(r cassiatally.SheetRecord) bool {
 	if !r.Reappend {
-		return f.Based() && r.BasedOn == f.folded.Version
+		return f.HasBase() && r.BasedOn == f.folded.Version
 	}
 	if !f.lost || r.Version < max(f.folded.Version, f.atLeast) {
 		return false
@@ -129,7 +129,7 @@
 }
 
 // Current returns the record in force. It is false when no version is known.
-// While Based is false, a newer version may be in force.
+// While HasBase is false, a newer version may be in force.
 func (f *Folder) Current() (cassiatally.SheetRecord, bool) {
 	lower := faultswitch.Off(faultswitch.VersionGrowth) && f.adopted.Version > 0
 	if lower || f.adopted.Version > f.folded.Version {
@@ -138,8 +138,8 @@
 	return f.folded, f.folded.Version > 0
 }
 
-// Based reports whether the next accepted record can be recognised.
-func (f *Folder) Based() bool { return !f.lost || f.based }
+// HasBase reports whether the next accepted record can be recognised.
+func (f *Folder) HasBase() bool { return !f.lost || f.based }
 
 // Next returns the offset to read from next.
 func (f *Folder) Next() cassiatally.Offset { return f.next }
--- a/cassiatally/sheetfolder/folder_test.go
+++ b/cassiatally/sheetfolder/folder_test.go
@@ -58,7 +58,7 @@
 			current, ok := f.Current()
 			is.Equal(current.Version, c.version)
 			is.Equal(ok, c.version > 0)
-			is.Equal(f.Based(), c.based)
+			is.Equal(f.HasBase(), c.based)
 		})
 	}
 }
@@ -86,9 +86,9 @@
 	var f sheetfolder.Folder
 	is.True(f.Apply(0, record(1, 0, false)))
 	f.Skip(1)
-	is.True(f.Based())
+	is.True(f.HasBase())
 	f.Start(9)
-	is.True(!f.Based())
+	is.True(!f.HasBase())
 	is.True(!f.Apply(9, record(2, 1, false)))
 	is.True(f.Apply(10, record(4, 3, true)))
 	is.True(!f.Apply(10, record(5, 4, false))) // read twice
@@ -175,10 +175,10 @@
 				w.read(f)
 				got, _ := f.Current()
 				want, _ := w.full.Current()
-				if f.Based() && got.Digest != want.Digest {
+				if f.HasBase() && got.Digest != want.Digest {
 					t.Fatalf("reader has %q, the whole log %q", got.Sheet, want.Sheet)
 				}
-				if w.first > 0 && f.Based() {
+				if w.first > 0 && f.HasBase() {
 					based++
 				}
 			}
--- a/node/claimkeeper/tables.go
+++ b/node/claimkeeper/tables.go
@@ -106,7 +106,7 @@
 // tellPairs passes changed assignments to their holders and standbys at once.
 // Gossip would take a second or more, in which the shard answers nobody.
 func (k *Keeper) tellPairs(changed []cassiatally.Assignment) {
-	next := k.Assigner.KnownTo()
+	next := k.Assigner.CoveredTo()
 	for _, as := range changed {
 		for _, ref := range []cassiatally.NodeRef{as.Holder, as.Standby} {
 			if !ref.IsZero() && ref != k.Self {
--- a/operator/command/sheet/publish/publish.go
+++ b/operator/command/sheet/publish/publish.go
@@ -138,7 +138,7 @@
 		return json.NewEncoder(o.Env.Stdout).Encode(output{true, r.Record.Version, r.Record.Digest.String(), r.Record.Publisher, nil})
 	}
 	verb := "accepted"
-	if r.Found {
+	if r.AlreadyAccepted {
 		verb = "was accepted before"
 	}
 	_, err := fmt.Fprintf(o.Env.Stdout, "version %d %s at offset %d\n", r.Record.Version, verb, r.Offset)
--- a/operator/sheetsource/source.go
+++ b/operator/sheetsource/source.go
@@ -107,7 +107,7 @@
 		return cassiatally.SheetRecord{}, errors.Wrap(err, "try again when the log service answers")
 	}
 	current, _ := r.Folder.Current()
-	if !r.Folder.Based() {
+	if !r.Folder.HasBase() {
 		return cassiatally.SheetRecord{}, nil
 	}
 	return current, nil
