--- a/cassiatally/claimer/answers.go
+++ b/cassiatally/claimer/answers.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// answerLife is how long a finished key is answered with its stored answer.
-	answerLife = 10 * time.Minute
-	// maxAnswerBody bounds the body of a stored answer, in bytes.
-	maxAnswerBody = 64 << 10
-	// maxAnswerBytes bounds all stored answers of the node.
+	// answerTTL is how long the answer of a finished key stays stored.
+	answerTTL = 10 * time.Minute
+	// maxAnswerBodyBytes bounds the body of a stored answer.
+	maxAnswerBodyBytes = 64 << 10
+	// maxAnswerBytes bounds all stored answers of the node together.
 	maxAnswerBytes = 16 << 20
-	// answerOverhead is charged for a stored answer in addition to its body.
-	answerOverhead = 512
+	// answerOverheadBytes is counted for a stored answer in addition to its texts.
+	answerOverheadBytes = 512
 )
 
 type storedAnswer struct {
@@ -23,15 +23,16 @@
 	until cassiatally.Instant
 }
 
-// answerStore bounds the answers that the claims of a node hold.
+// answerStore evicts the answers that the claims of a node hold, by age and by
+// their total size. Its entries are ordered from the oldest to the newest.
 type answerStore struct {
-	oldest []storedAnswer
-	bytes  int
+	entries []storedAnswer
+	bytes   int
 }
 
-// put stores the answer with the claim if it is small enough.
+// put stores the answer with the claim, unless its body is too large.
 func (st *answerStore) put(now cassiatally.Instant, cl *claim, a cassiatally.Answer) {
-	if len(a.Body) > maxAnswerBody {
+	if len(a.Body) > maxAnswerBodyBytes {
 		return
 	}
 	a.ID = cassiatally.CallID{}
@@ -39,24 +40,24 @@
 	a.Endpoint = cassiatally.EndpointLoad{}
 	a.Loads = nil
 	cl.answer = &a
-	size := answerOverhead + len(a.Detail) + len(a.Body)
-	st.oldest = append(st.oldest, storedAnswer{cl, size, now.Add(answerLife)})
+	size := answerOverheadBytes + len(a.Detail) + len(a.Body)
+	st.entries = append(st.entries, storedAnswer{cl, size, now.Add(answerTTL)})
 	st.bytes += size
 	for st.bytes > maxAnswerBytes {
 		st.dropOldest()
 	}
 }
 
-// expire drops the answers whose time is over.
+// expire drops the answers that reached answerTTL.
 func (st *answerStore) expire(now cassiatally.Instant) {
-	for len(st.oldest) > 0 && now.Reached(st.oldest[0].until) {
+	for len(st.entries) > 0 && now.Reached(st.entries[0].until) {
 		st.dropOldest()
 	}
 }
 
 func (st *answerStore) dropOldest() {
-	st.oldest[0].claim.answer = nil
-	st.bytes -= st.oldest[0].size
-	st.oldest[0] = storedAnswer{}
-	st.oldest = st.oldest[1:]
+	st.entries[0].claim.answer = nil
+	st.bytes -= st.entries[0].size
+	st.entries[0] = storedAnswer{}
+	st.entries = st.entries[1:]
 }
--- a/cassiatally/claimer/bench_test.go
+++ b/cassiatally/claimer/bench_test.go
@@ -8,10 +8,10 @@
 )
 
 // BenchmarkClaim measures the processor time of a claim at its holder, from the
-// call to the recorded outcome, and the memory that a finished claim keeps. The
-// stored answer is empty.
+// call to the recorded outcome, and the memory that a finished claim occupies.
+// The stored answer is empty.
 func BenchmarkClaim(b *testing.B) {
-	c := holding()
+	c := newHolder()
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -21,7 +21,7 @@
 	for i := range b.N {
 		if claims == maxClaims/2 {
 			b.StopTimer()
-			c, claims, seq = holding(), 0, 1
+			c, claims, seq = newHolder(), 0, 1
 			b.StartTimer()
 		}
 		claims++
--- a/cassiatally/claimer/claim.go
+++ b/cassiatally/claimer/claim.go
@@ -6,42 +6,42 @@
 	"github.com/cassiatally/cassiatally/cassiatally"
 )
 
-// caller names a call of a node.
-type caller struct {
+// callRef identifies a call by the node that sent it and its ID there.
+type callRef struct {
 	entry cassiatally.NodeID
 	call  cassiatally.CallID
 }
 
-// waiter is a call that waits for the outcome of a key.
+// waiter is a call that waits for the outcome of a key. Its answer carries tag.
 type waiter struct {
-	caller
+	callRef
 	tag cassiatally.RequestTag
 }
 
-// claim is what this node knows about a key.
+// claim is the state of a key at this node, as holder or as standby.
 type claim struct {
 	key         cassiatally.Key
 	epoch       cassiatally.Epoch
 	fingerprint cassiatally.Fingerprint
 	state       cassiatally.ClaimState
 	answer      *cassiatally.Answer
-	// need is the sequence number that the standby has to acknowledge before the
-	// state is safe to act upon.
-	need uint64
-	// submitted is set once and for all when the request goes out to be run.
+	// durableSeq is the sequence number that the standby has to acknowledge before
+	// the holder may act on the state.
+	durableSeq uint64
+	// submitted is set when the request is passed to the router. It is never reset.
 	submitted bool
-	// orphaned tells that the shard passed to another holder during the run.
+	// orphaned is set when the shard moved to another holder during the run.
 	orphaned bool
-	// call is kept until the request is submitted or void.
+	// call is nil once the request was submitted or its claim voided.
 	call     *cassiatally.Call
 	deadline cassiatally.Instant
-	// waitUntil is when the last waiting call is answered in any case.
+	// waitUntil is when the waiting calls are answered even without an acknowledgement.
 	waitUntil cassiatally.Instant
 	waiters   []waiter
 }
 
-// addWaiter adds a call that waits until the given time. It returns false when
-// there are too many.
+// addWaiter adds a call that waits at most until the given time. It returns
+// false when maxWaiters calls wait already.
 func (cl *claim) addWaiter(w waiter, until cassiatally.Instant) bool {
 	cl.waitUntil = max(cl.waitUntil, until)
 	if slices.Contains(cl.waiters, w) {
@@ -54,15 +54,16 @@
 	return true
 }
 
-func (cl *claim) removeWaiter(c caller) {
-	cl.waiters = slices.DeleteFunc(cl.waiters, func(w waiter) bool { return w.caller == c })
+func (cl *claim) removeWaiter(c callRef) {
+	cl.waiters = slices.DeleteFunc(cl.waiters, func(w waiter) bool { return w.callRef == c })
 }
 
-// request is what the router has to run for the claim.
+// request builds the request that the router runs for the claim.
 func (cl *claim) request(id cassiatally.CallID) cassiatally.Request {
 	c := cl.call
 	if c == nil {
-		// Only a switched off mechanism submits a claim of an earlier holder.
+		// Claims of an earlier holder carry no call. They are submitted only when a
+		// mechanism is switched off in a test.
 		c = &cassiatally.Call{}
 	}
 	return cassiatally.Request{
@@ -76,7 +77,7 @@
 	return cassiatally.Claim{Key: cl.key, Fingerprint: cl.fingerprint, State: cl.state, Answer: cl.answer}
 }
 
-// result is the answer to a call for a finished key.
+// result returns the answer to a call whose claim is no longer pending.
 func (cl *claim) result() cassiatally.Answer {
 	switch {
 	case cl.state == cassiatally.ClaimRan && cl.answer == nil:
@@ -94,7 +95,7 @@
 	return cassiatally.Answer{Outcome: o, Kind: k, Detail: detail, Status: k.Spec().Status}
 }
 
-// running reports whether the request is submitted and not finished.
+// running reports whether the request was submitted and has no outcome yet.
 func (cl *claim) running() bool {
 	return cl.submitted && cl.state == cassiatally.ClaimPending
 }
--- a/cassiatally/claimer/claimer.go
+++ b/cassiatally/claimer/claimer.go
@@ -3,16 +3,16 @@
 // the node is the holder or the standby.
 //
 // The holder runs a request only after the standby of the same epoch has
-// recorded the claim. A standby that takes over seals the epoch first, so it
-// knows every claim that was ever run, and turns the unfinished ones into
-// unknown. A void is answered as not_run only after the standby has recorded it.
-// The shard table, which is folded from the log, says who acts in which epoch.
-// No rule depends on a clock.
+// recorded the claim. A standby that takes over first seals the epoch: it records
+// no further claims, so its copy contains every claim that was run. It marks the
+// pending ones as unknown. A void is answered as not_run only after the standby
+// has recorded it. The shard table, which is folded from the log, states the
+// holder and the standby of each epoch. No rule depends on a clock.
 //
 // # Usage
 //
-// The duty that owns the claimer passes on messages and events, and carries out
-// the actions that it returns:
+// The duty that owns the claimer passes messages and events to it, and carries
+// out the actions that it returns:
 //
 //	c := claimer.New(self, dataCentre, 16)
 //	do(c.AssignmentsChanged(now, table.Changed()))
@@ -23,8 +23,8 @@
 //	do(c.Tick(now))                    // every 100 ms
 //
 // Actions are Send, Submit and AppendAssignment. After each append the owner
-// calls AppendDone or AppendFailed. An append whose answer was lost is a failed
-// append; appending twice is harmless.
+// calls AppendDone or AppendFailed. An append whose response was lost counts as
+// failed; appending an assignment twice is harmless.
 //
 // A Claimer is not safe for concurrent use.
 package claimer
@@ -39,26 +39,26 @@
 const (
 	// appendRetry is the time between a failed append and the next one.
 	appendRetry = time.Second
-	// appendTimeout is how long an append may stay without a result, or an
-	// appended record unread, before it is appended again.
+	// appendTimeout is how long to wait for the result of an append, or for the
+	// appended record to be read back, before appending again.
 	appendTimeout = 10 * time.Second
-	// memberGrace is how long after an assignment an absent member is not taken to
-	// be gone. The member table of a node that has just started is not complete.
+	// memberGrace is how long after an assignment the absence of a member is
+	// ignored. The member table of a node that has just started is incomplete.
 	memberGrace = 3 * time.Second
-	// submitSeqBase keeps the ids of submitted requests apart from the ids that
-	// the router of the same incarnation draws.
+	// submitSeqBase keeps the IDs of submitted requests distinct from the IDs that
+	// the router of the same incarnation assigns.
 	submitSeqBase = 1 << 63
 )
 
-// faults switches off mechanisms in tests, to show that the tests notice.
+// faults switches off mechanisms, to show that the tests detect their absence.
 type faults struct {
-	// skipAck submits and answers without the acknowledgement of the standby.
+	// skipAck submits and answers without waiting for the standby to acknowledge.
 	skipAck bool
-	// skipSeal acknowledges, without recording them, messages of earlier epochs.
+	// skipSeal acknowledges messages of earlier epochs without recording them.
 	skipSeal bool
-	// forgetPending drops unfinished claims in a takeover.
-	forgetPending bool
-	// partialCopy lets a standby without a whole copy take over.
+	// dropPending drops pending claims in a takeover instead of marking them unknown.
+	dropPending bool
+	// partialCopy lets a standby with an incomplete copy keep its claims in a takeover.
 	partialCopy bool
 	// anyEpochAcks accepts acknowledgements of any epoch and incarnation.
 	anyEpochAcks bool
@@ -68,28 +68,28 @@
 
 // Claimer holds the claims of the shards of one node.
 type Claimer struct {
-	self         cassiatally.NodeRef
-	dc           cassiatally.DataCentre
-	shards       []*shard
-	live         []cassiatally.Member
-	knowsMembers bool
-	draining     bool
-	runs         map[cassiatally.CallID]*claim
-	waiting      map[caller]*claim
-	answers      answerStore
-	heldBytes    int
-	seq          uint64
-	out          []cassiatally.Action
-	faults       faults
+	self        cassiatally.NodeRef
+	dc          cassiatally.DataCentre
+	shards      []*shard
+	live        []cassiatally.Member
+	haveMembers bool
+	draining    bool
+	runs        map[cassiatally.CallID]*claim
+	waiting     map[callRef]*claim
+	answers     answerStore
+	heldBytes   int
+	seq         uint64
+	out         []cassiatally.Action
+	faults      faults
 }
 
-// New returns a claimer for count shards of a data centre, holding none of them.
+// New returns a claimer for count shards of a data centre. It holds no shard yet.
 func New(self cassiatally.NodeRef, dc cassiatally.DataCentre, count int) *Claimer {
 	c := &Claimer{
 		self:    self,
 		dc:      dc,
 		runs:    make(map[cassiatally.CallID]*claim),
-		waiting: make(map[caller]*claim),
+		waiting: make(map[callRef]*claim),
 		seq:     submitSeqBase,
 		faults:  faults{skipAck: faultswitch.Off(faultswitch.ClaimAck)},
 	}
@@ -99,150 +99,157 @@
 	return c
 }
 
-// AssignmentsChanged tells which assignments are in force now.
+// AssignmentsChanged applies the assignments that came into force. Those of other
+// data centres and those whose epoch is not newer are ignored.
 func (c *Claimer) AssignmentsChanged(now cassiatally.Instant, changed []cassiatally.Assignment) []cassiatally.Action {
 	for _, a := range changed {
-		if s := c.shard(a.Shard); s != nil && a.Epoch > s.current.Epoch {
-			c.assign(now, s, a)
+		if s := c.shard(a.Shard); s != nil && a.Epoch > s.inForce.Epoch {
+			c.applyAssignment(now, s, a)
 		}
 	}
-	return c.take()
+	return c.takeActions()
 }
 
-// assign moves a shard to the next assignment. The claims are kept only by a
-// holder that goes on, and by a standby with a whole copy that takes over.
-func (c *Claimer) assign(now cassiatally.Instant, s *shard, a cassiatally.Assignment) {
-	was, previous := s.role, s.current
-	s.current = a
+// applyAssignment moves a shard to the next assignment. The claims are kept only by a
+// holder that remains the holder, and by a standby with a complete copy that
+// takes over.
+func (c *Claimer) applyAssignment(now cassiatally.Instant, s *shard, a cassiatally.Assignment) {
+	oldRole, previous := s.role, s.inForce
+	s.inForce = a
 	s.role = s.roleOf(c.self)
 	continues := a.Epoch == previous.Epoch+1 && a.CompleteFrom < a.Epoch && s.role == roleHolder
-	copied := s.copied || c.faults.partialCopy
-	keep := continues && (was == roleHolder || was == roleStandby && copied)
-	if !keep {
-		c.abandon(s)
+	copied := s.copyComplete || c.faults.partialCopy
+	keepClaims := continues && (oldRole == roleHolder || oldRole == roleStandby && copied)
+	if !keepClaims {
+		c.dropClaims(s)
 	}
 	switch {
-	case keep:
+	case keepClaims:
 		s.completeFrom = max(s.completeFrom, a.CompleteFrom)
 	case s.role == roleHolder:
 		s.completeFrom = a.Epoch
 	default:
 		s.completeFrom = a.CompleteFrom
 	}
-	if keep && was == roleStandby {
-		c.closePending(s)
+	if keepClaims && oldRole == roleStandby {
+		c.markPendingUnknown(s)
 	}
-	c.dropExpired(s)
-	c.countRotation(now, s, keep && was == roleHolder)
-	s.since = now
+	c.dropBelowCompleteFrom(s)
+	c.resetRotation(now, s, keepClaims && oldRole == roleHolder)
+	s.assignedAt = now
 	s.proposal = nil
 	s.rotating = false
 	s.sealed = false
-	s.peerSealed = false
-	s.received = 0
-	s.copied = false
+	s.standbySealed = false
+	s.receivedSeq = 0
+	s.copyComplete = false
 	s.outbox = outbox{}
 	if s.role == roleHolder {
 		c.startCopy(now, s)
 	}
 }
 
-// closePending ends the claims that the previous holder may have run.
-func (c *Claimer) closePending(s *shard) {
+// markPendingUnknown sets the outcome of the pending claims to unknown, because
+// the previous holder may have run them.
+func (c *Claimer) markPendingUnknown(s *shard) {
 	for k, cl := range s.claims {
 		if cl.state != cassiatally.ClaimPending {
 			continue
 		}
 		cl.state = cassiatally.ClaimUnknown
-		if c.faults.forgetPending {
+		if c.faults.dropPending {
 			delete(s.claims, k)
 		}
 	}
 }
 
-func (c *Claimer) countRotation(now cassiatally.Instant, s *shard, goesOn bool) {
-	if goesOn && !s.rotating {
+// resetRotation starts a new rotation period, unless the holder continues in an
+// epoch that is not part of a rotation.
+func (c *Claimer) resetRotation(now cassiatally.Instant, s *shard, continues bool) {
+	if continues && !s.rotating {
 		return
 	}
-	s.rotation = s.current.Epoch
+	s.rotationEpoch = s.inForce.Epoch
 	s.rotatedAt = now
-	s.minted = 0
+	s.claimsSinceRotation = 0
 }
 
-// abandon forgets the claims of a shard. Runs in flight still answer their
+// dropClaims removes the claims of a shard. Runs in flight still answer their
 // waiting calls.
-func (c *Claimer) abandon(s *shard) {
+func (c *Claimer) dropClaims(s *shard) {
 	for _, k := range s.keys() {
-		c.forget(s, s.claims[k], unavailable())
+		c.dropClaim(s, s.claims[k], unavailable())
 	}
 }
 
-// dropExpired forgets the claims below completeFrom.
-func (c *Claimer) dropExpired(s *shard) {
+// dropBelowCompleteFrom removes the claims of epochs below completeFrom.
+func (c *Claimer) dropBelowCompleteFrom(s *shard) {
 	for _, k := range s.keys() {
 		if cl := s.claims[k]; cl.epoch < s.completeFrom {
-			c.forget(s, cl, failure(cassiatally.KindKeyExpired, cassiatally.OutcomeUnknown, "the claims of the key's epoch are no longer known"))
+			c.dropClaim(s, cl, failure(cassiatally.KindKeyExpired, cassiatally.OutcomeUnknown, "the claims of the key's epoch are no longer known"))
 		}
 	}
 }
 
-func (c *Claimer) forget(s *shard, cl *claim, a cassiatally.Answer) {
+// dropClaim removes a claim. Its waiting calls get the answer at once, or the
+// outcome of the run when one is in flight.
+func (c *Claimer) dropClaim(s *shard, cl *claim, a cassiatally.Answer) {
 	delete(s.claims, cl.key)
 	c.dropCall(cl)
 	if cl.running() {
 		cl.orphaned = true
 		return
 	}
-	c.release(cl, a)
+	c.answerWaiters(cl, a)
 }
 
 // MembersChanged replaces the live members of the data centre.
 func (c *Claimer) MembersChanged(now cassiatally.Instant, live []cassiatally.Member) []cassiatally.Action {
 	c.live = append(c.live[:0:0], live...)
-	c.knowsMembers = true
+	c.haveMembers = true
 	return c.Tick(now)
 }
 
-// AppendDone tells that an assignment was written. It has no effect before it is
-// read back as the winner.
+// AppendDone reports that an assignment was written. The assignment takes effect
+// only when it is read back as the winner.
 func (c *Claimer) AppendDone(now cassiatally.Instant, a cassiatally.Assignment) []cassiatally.Action {
-	c.appended(a, now.Add(appendTimeout))
+	c.rescheduleProposal(a, now.Add(appendTimeout))
 	return nil
 }
 
-// AppendFailed tells that an assignment may not have been written.
+// AppendFailed reports that an assignment may not have been written.
 func (c *Claimer) AppendFailed(now cassiatally.Instant, a cassiatally.Assignment) []cassiatally.Action {
-	c.appended(a, now.Add(appendRetry))
+	c.rescheduleProposal(a, now.Add(appendRetry))
 	return nil
 }
 
-func (c *Claimer) appended(a cassiatally.Assignment, next cassiatally.Instant) {
+func (c *Claimer) rescheduleProposal(a cassiatally.Assignment, next cassiatally.Instant) {
 	if s := c.shard(a.Shard); s != nil && s.proposal != nil && *s.proposal == a {
-		s.proposedAt = next
+		s.nextProposalAt = next
 	}
 }
 
-// propose appends the next assignment, unless the same one was appended a short
-// time ago.
+// propose appends the next assignment, unless an earlier proposal was appended a
+// short time ago.
 func (c *Claimer) propose(now cassiatally.Instant, s *shard, next cassiatally.Assignment) {
-	if s.proposal != nil && !now.Reached(s.proposedAt) {
+	if s.proposal != nil && !now.Reached(s.nextProposalAt) {
 		return
 	}
 	next.Reappend = false
 	s.proposal = &next
-	s.proposedAt = now.Add(appendTimeout)
+	s.nextProposalAt = now.Add(appendTimeout)
 	c.out = append(c.out, cassiatally.AppendAssignment{Assignment: next})
 }
 
-// Drain hands over the shards of a node that leaves. They take no new claims and
-// pass to their standby once no request is in flight.
+// Drain starts the handover of all shards before the node leaves. They accept no
+// new claims and move to their standby once no request is in flight.
 func (c *Claimer) Drain(now cassiatally.Instant) []cassiatally.Action {
 	c.draining = true
 	return c.Tick(now)
 }
 
 // Drained reports whether this node holds no shard that another member could
-// take over. When all members leave together there is nobody to hand over to.
+// take over. When all members leave together, no member can take over a shard.
 func (c *Claimer) Drained() bool {
 	if !c.hasSuccessor() {
 		return true
@@ -264,7 +271,7 @@
 	return false
 }
 
-// Tick does what is due by time. It is called every 100 ms.
+// Tick carries out the work that is due at now. The owner calls it every 100 ms.
 func (c *Claimer) Tick(now cassiatally.Instant) []cassiatally.Action {
 	c.answers.expire(now)
 	for _, s := range c.shards {
@@ -276,7 +283,7 @@
 		case roleNone:
 		}
 	}
-	return c.take()
+	return c.takeActions()
 }
 
 func (c *Claimer) shard(ref cassiatally.ShardRef) *shard {
@@ -295,9 +302,10 @@
 	return cassiatally.Member{}, false
 }
 
-// trusts reports whether the member table can tell that a node is gone.
-func (c *Claimer) trusts(now cassiatally.Instant, s *shard) bool {
-	return c.knowsMembers && now.Reached(s.since.Add(memberGrace))
+// memberTableReady reports whether absence from the member table means that a
+// node is gone.
+func (c *Claimer) memberTableReady(now cassiatally.Instant, s *shard) bool {
+	return c.haveMembers && now.Reached(s.assignedAt.Add(memberGrace))
 }
 
 // standbyFor chooses the standby of a holder among the live members that are not
@@ -321,10 +329,10 @@
 	return m.Ref
 }
 
-// release answers all calls that wait for a claim.
-func (c *Claimer) release(cl *claim, a cassiatally.Answer) {
+// answerWaiters answers all calls that wait for a claim.
+func (c *Claimer) answerWaiters(cl *claim, a cassiatally.Answer) {
 	for _, w := range cl.waiters {
-		delete(c.waiting, w.caller)
+		delete(c.waiting, w.callRef)
 		c.answer(w, a)
 	}
 	cl.waiters = nil
@@ -340,7 +348,7 @@
 	c.out = append(c.out, cassiatally.Send{To: to, Message: m})
 }
 
-func (c *Claimer) take() []cassiatally.Action {
+func (c *Claimer) takeActions() []cassiatally.Action {
 	out := c.out
 	c.out = nil
 	return out
--- a/cassiatally/claimer/claimer_test.go
+++ b/cassiatally/claimer/claimer_test.go
@@ -21,8 +21,8 @@
 	return cassiatally.Instant(n) * cassiatally.Instant(time.Second)
 }
 
-// holding returns a holder whose standby has recorded the empty copy.
-func holding() *Claimer {
+// newHolder returns a holder whose standby has recorded the empty copy.
+func newHolder() *Claimer {
 	c := New(holderRef, testDC, 1)
 	c.AssignmentsChanged(0, []cassiatally.Assignment{{
 		Shard: testShard, Epoch: 1, Holder: holderRef, Standby: standbyRef, CompleteFrom: 1,
@@ -78,7 +78,8 @@
 	return cassiatally.Assignment{}
 }
 
-// Guards against a run on an acknowledgement that does not speak for the claim.
+// Guards against a run on an acknowledgement that does not cover the claim, or
+// that comes from another epoch or incarnation.
 func TestOnlyTheStandbyOfTheEpochAcknowledges(t *testing.T) {
 	cases := []struct {
 		name string
@@ -95,7 +96,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			h := holding()
+			h := newHolder()
 			_, early := submitted(h.HandleCall(0, entryNode, callOf(1, keyOf(1, 1), "a")))
 			is.True(!early)
 			r, runs := submitted(h.HandleClaimAck(0, "standby", c.ack))
@@ -105,7 +106,8 @@
 	}
 }
 
-// Guards against refusals that say more or less than the node can know.
+// Guards against a refusal with a wrong outcome: not_run for a request that may
+// have run elsewhere, or unknown for a key that cannot have been claimed.
 func TestRefusals(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -114,14 +116,14 @@
 		outcome cassiatally.Outcome
 	}{
 		{"key that no node minted", callOf(2, "dc.0.1.x", "a"), cassiatally.KindKeyInvalid, cassiatally.OutcomeNotRun},
-		{"key of an epoch that is not known here", callOf(2, keyOf(2, 1), "a"), cassiatally.KindUnavailable, cassiatally.OutcomeUnknown},
+		{"key of an epoch that was not read yet", callOf(2, keyOf(2, 1), "a"), cassiatally.KindUnavailable, cassiatally.OutcomeUnknown},
 		{"key below the complete epochs", callOf(2, keyOf(0, 1), "a"), cassiatally.KindKeyExpired, cassiatally.OutcomeUnknown},
 		{"other body before the claim is recorded", callOf(2, keyOf(1, 1), "b"), cassiatally.KindKeyConflict, cassiatally.OutcomeUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			h := holding()
+			h := newHolder()
 			h.HandleCall(0, entryNode, callOf(1, keyOf(1, 1), "a"))
 			got := answers(h.HandleCall(0, entryNode, c.call))
 			is.Equal(len(got), 1)
@@ -132,11 +134,12 @@
 	}
 }
 
-// Guards against a joined call that runs again, waits for ever or waits beyond
-// its bound, and against a cancel that stops the run of others.
+// Guards against a joined call that runs again or is never answered, against
+// more than maxWaiters waiting calls, and against a cancel of one call that stops
+// the run for the others.
 func TestCallsJoinTheClaim(t *testing.T) {
 	is := is.New(t)
-	h := holding()
+	h := newHolder()
 	k := keyOf(1, 1)
 	for id := range uint64(maxWaiters) {
 		h.HandleCall(0, entryNode, callOf(id, k, "a"))
@@ -150,17 +153,18 @@
 	is.Equal(len(answers(done)), maxWaiters-1)
 	again := answers(h.HandleCall(0, entryNode, callOf(100, k, "a")))
 	is.Equal(string(again[0].Body), "done")
-	h.Tick(0 + cassiatally.Instant(answerLife))
+	h.Tick(0 + cassiatally.Instant(answerTTL))
 	again = answers(h.HandleCall(0, entryNode, callOf(101, k, "a")))
 	is.Equal(again[0].Kind, cassiatally.KindAnswerExpired)
 	is.Equal(again[0].Outcome, cassiatally.OutcomeRan)
 }
 
-// Guards against a not_run answer that the standby does not know of, for a run
-// that never started and for a claim that was acknowledged too late.
+// Guards against a not_run answer before the standby has recorded the void, for
+// a run that never started and for a claim that was acknowledged after its
+// deadline.
 func TestVoidIsRecordedBeforeItIsAnswered(t *testing.T) {
 	is := is.New(t)
-	h := holding()
+	h := newHolder()
 	h.HandleCall(0, entryNode, callOf(1, keyOf(1, 1), "a"))
 	r, _ := submitted(h.HandleClaimAck(0, "standby", ackOf(1, standbyRef, 2)))
 	is.Equal(len(answers(h.RunFinished(0, r.ID, cassiatally.Answer{Outcome: cassiatally.OutcomeNotRun, Kind: cassiatally.KindOverloaded}))), 0)
@@ -177,10 +181,10 @@
 	is.Equal(got[0].Outcome, cassiatally.OutcomeNotRun)
 }
 
-// Guards against a holder that waits for ever for a silent standby.
+// Guards against a holder that waits forever for a silent standby.
 func TestSilentStandbyIsReplaced(t *testing.T) {
 	is := is.New(t)
-	h := holding()
+	h := newHolder()
 	h.HandleCall(0, entryNode, callOf(1, keyOf(1, 1), "a"))
 	is.Equal(len(h.Tick(second(1)-1)), 0)
 	is.Equal(len(h.Tick(second(1))), 2) // the update again, and a void for the call that expired
@@ -196,14 +200,14 @@
 }
 
 // Guards against a standby that acknowledges claims after it has begun a
-// takeover, and against one that takes over history that it does not have.
+// takeover, and against one with an incomplete copy that keeps completeFrom.
 func TestStandbySealsBeforeTakeover(t *testing.T) {
 	cases := []struct {
 		name     string
 		copied   bool
 		complete cassiatally.Epoch
 	}{
-		{"with the whole copy", true, 1},
+		{"with the complete copy", true, 1},
 		{"with a part of the copy", false, 2},
 	}
 	for _, c := range cases {
@@ -225,11 +229,11 @@
 	}
 }
 
-// Guards against claims that pile up, and against a node that leaves with its
-// shards.
+// Guards against claims that are never dropped by a rotation, and against a node
+// that leaves without handing over its shards.
 func TestNextEpochs(t *testing.T) {
 	is := is.New(t)
-	h := holding()
+	h := newHolder()
 	r := proposed(h.Tick(cassiatally.Instant(rotateAfter)))
 	is.Equal(r.CompleteFrom, cassiatally.Epoch(1))
 	h.AssignmentsChanged(cassiatally.Instant(rotateAfter), []cassiatally.Assignment{r})
@@ -238,7 +242,7 @@
 	is.Equal(r.CompleteFrom, cassiatally.Epoch(2))
 	is.Equal(r.Holder, holderRef)
 
-	h = holding()
+	h = newHolder()
 	handover := proposed(h.Drain(second(4)))
 	is.Equal(handover.Holder, standbyRef)
 	is.Equal(handover.Standby, spareRef)
@@ -247,7 +251,7 @@
 	is.True(h.Drained())
 
 	// All members of the data centre leave together.
-	h = holding()
+	h = newHolder()
 	h.Drain(second(4))
 	h.MembersChanged(second(4), []cassiatally.Member{
 		{Ref: holderRef, Leaving: true}, {Ref: standbyRef, Leaving: true}, {Ref: spareRef, Leaving: true},
@@ -255,18 +259,18 @@
 	is.True(h.Drained())
 }
 
-// Guards against stored answers that outgrow their bound.
+// Guards against stored answers beyond maxAnswerBytes.
 func TestStoredAnswersAreBounded(t *testing.T) {
 	is := is.New(t)
 	var st answerStore
 	first := &claim{}
-	st.put(0, first, cassiatally.Answer{Body: make([]byte, maxAnswerBody)})
+	st.put(0, first, cassiatally.Answer{Body: make([]byte, maxAnswerBodyBytes)})
 	is.True(first.answer != nil)
 	large := &claim{}
-	st.put(0, large, cassiatally.Answer{Body: make([]byte, maxAnswerBody+1)})
+	st.put(0, large, cassiatally.Answer{Body: make([]byte, maxAnswerBodyBytes+1)})
 	is.True(large.answer == nil)
-	for range maxAnswerBytes / maxAnswerBody {
-		st.put(0, &claim{}, cassiatally.Answer{Body: make([]byte, maxAnswerBody)})
+	for range maxAnswerBytes / maxAnswerBodyBytes {
+		st.put(0, &claim{}, cassiatally.Answer{Body: make([]byte, maxAnswerBodyBytes)})
 	}
 	is.True(first.answer == nil)
 	is.True(st.bytes <= maxAnswerBytes)
--- a/cassiatally/claimer/explore_test.go
+++ b/cassiatally/claimer/explore_test.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// exploreSteps is the length of one exploration.
+	// exploreSteps is the number of random steps in one exploration.
 	exploreSteps = 400
 	// exploreChecks is the number of explorations in one run of the tests.
 	exploreChecks = 400
 )
 
 // TestMain fixes the seed and the number of checks, so that every run of the
-// tests gives the same verdict. CLAIMER_SEED and CLAIMER_CHECKS are for trials.
+// tests gives the same result. CLAIMER_SEED and CLAIMER_CHECKS override them.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	set := func(name, variable, value string) {
@@ -39,7 +39,7 @@
 	w := newWorld(t, f)
 	for range exploreSteps {
 		w.step()
-		if w.broken != "" {
+		if w.violation != "" {
 			break
 		}
 	}
@@ -49,14 +49,14 @@
 // Guards against a second run of a key, a not_run answer for a request that ran
 // or runs later, and a ran answer without a run, under lost, duplicated and
 // reordered messages, pauses, crashes, takeovers, racing appends and a log that
-// drops records before they are read. Guards also
-// against a shard that takes no claims after the faults have ended.
+// drops records before they are read. Guards also against a shard that accepts no
+// claims after the faults have ended.
 func TestRulesHoldUnderFaults(t *testing.T) {
 	var total worldStats
 	rapid.Check(t, func(t *rapid.T) {
 		w := explore(t, faults{})
-		if w.broken != "" {
-			t.Fatalf("%s", w.broken)
+		if w.violation != "" {
+			t.Fatalf("%s", w.violation)
 		}
 		if !w.recovers() {
 			t.Fatalf("a new key is not run after all faults have ended")
@@ -76,9 +76,9 @@
 	is.True(total.epochs > 3*exploreChecks)
 }
 
-// Guards against an exploration that is too weak to notice a missing mechanism.
+// Guards against an exploration that is too weak to detect a missing mechanism.
 // The seeds are the first ones that find a violation; a change to the moves of
-// the world needs a new search with CLAIMER_SEARCH=60000.
+// the simulation needs a new search with CLAIMER_SEARCH=60000.
 func TestExplorationNoticesMissingMechanism(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -87,15 +87,15 @@
 	}{
 		{"standby acknowledgement", faults{skipAck: true}, 3},
 		{"sealing of earlier epochs", faults{skipSeal: true}, 14},
-		{"unfinished claims become unknown", faults{forgetPending: true}, 3},
-		{"whole copy before takeover", faults{partialCopy: true}, 47},
+		{"pending claims become unknown", faults{dropPending: true}, 3},
+		{"complete copy before takeover", faults{partialCopy: true}, 47},
 		{"epoch and incarnation of acknowledgements", faults{anyEpochAcks: true}, 55314},
 		{"void recorded before not_run", faults{earlyNotRun: true}, 24},
 	}
 	search, _ := strconv.Atoi(os.Getenv("CLAIMER_SEARCH"))
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			broken := rapid.Custom(func(t *rapid.T) string { return explore(t, c.faults).broken })
+			broken := rapid.Custom(func(t *rapid.T) string { return explore(t, c.faults).violation })
 			found := broken.Example(c.seed)
 			for seed := 0; found == "" && seed < search; seed++ {
 				found = broken.Example(seed)
--- a/cassiatally/claimer/holder.go
+++ b/cassiatally/claimer/holder.go
@@ -10,46 +10,47 @@
 const (
 	// maxWaiters bounds the calls that wait for one key.
 	maxWaiters = 32
-	// rotateAfter is how long a holder keeps an epoch before it starts a new one
+	// rotateAfter is the time between rotations: new epochs that the holder starts
 	// to drop old claims.
 	rotateAfter = 12 * time.Hour
-	// claimsPerRotation starts a new epoch early, so that the claims of two
-	// rotations stay within the memory of a node.
+	// claimsPerRotation is the number of claims after which the holder rotates
+	// early, so that the claims of two rotations fit into the memory of a node.
 	claimsPerRotation = 1 << 14
-	// maxClaims closes a shard that cannot rotate because the log is down. A claim
-	// takes about 250 bytes at the holder and at the standby.
+	// maxClaims is reached only by a shard that cannot rotate because the log is
+	// down; it then accepts no new claims. A claim takes about 250 bytes at the
+	// holder and at the standby.
 	maxClaims = 3 * claimsPerRotation
-	// maxHeldBytes bounds the bodies of the calls whose claims are not recorded
-	// yet, over all shards of the node.
+	// maxHeldBytes bounds the bodies of the calls whose claims the standby has not
+	// recorded yet, over all shards of the node.
 	maxHeldBytes = 8 << 20
-	// answerGrace is how long after its deadline a call still waits for a void to
-	// be acknowledged before it is answered as unknown.
+	// answerGrace is how long after its deadline a call still waits for the
+	// acknowledgement of a void before it is answered as unknown.
 	answerGrace = time.Second
-	// queryWait is how long a look-up waits for a void to be acknowledged. A
-	// standby that is silent for so long is replaced.
+	// queryWait is how long a look-up waits for the acknowledgement of a void. A
+	// standby that is silent for that long is replaced.
 	queryWait = replaceAfter
 )
 
-// HandleCall claims the key of a call, or joins the claim that exists.
+// HandleCall creates a claim for the key of a call, or joins the existing one.
 func (c *Claimer) HandleCall(now cassiatally.Instant, from cassiatally.NodeID, call cassiatally.Call) []cassiatally.Action {
-	w := waiter{caller{from, call.ID}, call.Tag()}
+	w := waiter{callRef{from, call.ID}, call.Tag()}
 	s, parts, refusal := c.locate(call.Key)
 	if refusal != nil {
 		c.answer(w, *refusal)
-		return c.take()
+		return c.takeActions()
 	}
 	if call.Stage != cassiatally.StageClaim {
 		c.answer(w, failure(cassiatally.KindProtocol, cassiatally.OutcomeUnknown, "the call does not ask for a claim"))
-		return c.take()
+		return c.takeActions()
 	}
 	if cl := s.claims[call.Key]; cl != nil {
 		until := now.Add(call.Remaining + answerGrace)
-		c.join(w, until, s, cl, cassiatally.FingerprintOf(call.Service, call.Work, call.Body))
-		return c.take()
+		c.joinClaim(w, until, s, cl, cassiatally.FingerprintOf(call.Service, call.Work, call.Body))
+		return c.takeActions()
 	}
-	if c.closed(now, s) {
+	if c.rejectsNewClaims(now, s) {
 		c.answer(w, unavailable())
-		return c.take()
+		return c.takeActions()
 	}
 	cl := &claim{
 		key:         call.Key,
@@ -62,44 +63,44 @@
 	}
 	c.heldBytes += len(call.Body)
 	s.claims[cl.key] = cl
-	s.minted++
+	s.claimsSinceRotation++
 	if call.Remaining <= 0 {
 		c.voidExpired(now, cl)
 	}
-	c.update(now, s, cl)
-	return c.take()
+	c.replicate(now, s, cl)
+	return c.takeActions()
 }
 
-// HandleKeyQuery answers for the outcome of a key. A key that was never seen
-// becomes void, so that a delayed copy of its request cannot run afterwards.
+// HandleKeyQuery answers with the outcome of a key. A key without a claim becomes
+// void, so that a delayed copy of its request cannot run afterwards.
 func (c *Claimer) HandleKeyQuery(now cassiatally.Instant, from cassiatally.NodeID, m cassiatally.KeyQuery) []cassiatally.Action {
-	w := waiter{caller{from, m.ID}, m.Tag()}
+	w := waiter{callRef{from, m.ID}, m.Tag()}
 	s, parts, refusal := c.locate(m.Key)
 	if refusal != nil {
 		c.answer(w, *refusal)
-		return c.take()
+		return c.takeActions()
 	}
 	cl := s.claims[m.Key]
 	switch {
 	case cl != nil && cl.state == cassiatally.ClaimPending:
 		c.answer(w, failure(cassiatally.KindOutcomeUnknown, cassiatally.OutcomeUnknown, "the request is in flight; look the key up again"))
 	case cl != nil:
-		c.join(w, now.Add(queryWait), s, cl, cl.fingerprint)
-	case c.closed(now, s):
+		c.joinClaim(w, now.Add(queryWait), s, cl, cl.fingerprint)
+	case c.rejectsNewClaims(now, s):
 		c.answer(w, unavailable())
 	default:
 		cl = &claim{key: m.Key, epoch: parts.Epoch, state: cassiatally.ClaimVoid}
 		cl.addWaiter(w, now.Add(queryWait))
 		s.claims[m.Key] = cl
-		s.minted++
-		c.update(now, s, cl)
+		s.claimsSinceRotation++
+		c.replicate(now, s, cl)
 	}
-	return c.take()
+	return c.takeActions()
 }
 
-// HandleCancel drops a waiting call. The claim itself goes on.
+// HandleCancel removes a waiting call. The claim and its run continue.
 func (c *Claimer) HandleCancel(_ cassiatally.Instant, from cassiatally.NodeID, m cassiatally.Cancel) []cassiatally.Action {
-	w := caller{from, m.ID}
+	w := callRef{from, m.ID}
 	if cl := c.waiting[w]; cl != nil {
 		cl.removeWaiter(w)
 		delete(c.waiting, w)
@@ -107,38 +108,38 @@
 	return nil
 }
 
-// HandleClaimAck acts on the claims that the standby of the epoch in force has
-// recorded.
+// HandleClaimAck proceeds with the claims that the standby of the epoch in force
+// has recorded.
 func (c *Claimer) HandleClaimAck(now cassiatally.Instant, from cassiatally.NodeID, m cassiatally.ClaimAck) []cassiatally.Action {
 	s := c.shard(m.Shard)
-	if s == nil || s.role != roleHolder || !c.valid(s, from, m) {
+	if s == nil || s.role != roleHolder || !c.validAck(s, from, m) {
 		return nil
 	}
 	if m.Sealed {
-		s.peerSealed = true
+		s.standbySealed = true
 		return nil
 	}
 	for _, e := range s.outbox.ack(now, m.Seq) {
 		for _, k := range e.keys {
 			if cl := s.claims[k]; cl != nil {
-				c.settle(now, s, cl)
+				c.proceedIfDurable(now, s, cl)
 			}
 		}
 	}
-	c.pump(now, s)
-	return c.take()
+	c.sendDue(now, s)
+	return c.takeActions()
 }
 
-// valid reports whether an acknowledgement comes from the standby of the epoch
+// validAck reports whether an acknowledgement comes from the standby of the epoch
 // in force.
-func (c *Claimer) valid(s *shard, from cassiatally.NodeID, m cassiatally.ClaimAck) bool {
+func (c *Claimer) validAck(s *shard, from cassiatally.NodeID, m cassiatally.ClaimAck) bool {
 	if c.faults.anyEpochAcks {
-		return m.From.Node == s.current.Standby.Node
+		return m.From.Node == s.inForce.Standby.Node
 	}
-	return m.Epoch == s.current.Epoch && m.From == s.current.Standby && m.From.Node == from
+	return m.Epoch == s.inForce.Epoch && m.From == s.inForce.Standby && m.From.Node == from
 }
 
-// RunFinished records the answer to a Submit.
+// RunFinished records the answer to the Submit with this ID.
 func (c *Claimer) RunFinished(now cassiatally.Instant, id cassiatally.CallID, a cassiatally.Answer) []cassiatally.Action {
 	cl := c.runs[id]
 	if cl == nil {
@@ -147,19 +148,19 @@
 	delete(c.runs, id)
 	if cl.orphaned {
 		c.finishOrphan(cl, a)
-		return c.take()
+		return c.takeActions()
 	}
 	parts, _ := cassiatally.ParseKey(cl.key)
 	s := c.shard(parts.Shard)
-	c.finish(now, cl, a)
+	c.recordOutcome(now, cl, a)
 	if cl.state != cassiatally.ClaimVoid {
-		c.release(cl, a)
+		c.answerWaiters(cl, a)
 	}
-	c.update(now, s, cl)
-	return c.take()
+	c.replicate(now, s, cl)
+	return c.takeActions()
 }
 
-func (c *Claimer) finish(now cassiatally.Instant, cl *claim, a cassiatally.Answer) {
+func (c *Claimer) recordOutcome(now cassiatally.Instant, cl *claim, a cassiatally.Answer) {
 	switch a.Outcome {
 	case cassiatally.OutcomeRan:
 		cl.state = cassiatally.ClaimRan
@@ -172,17 +173,18 @@
 	}
 }
 
-// finishOrphan answers for a run whose shard has another holder now. That holder
-// tells every other caller that the outcome is unknown, so not_run is not said.
+// finishOrphan answers the calls that wait for a run whose shard has another
+// holder now. That holder answers every other caller that the outcome is unknown,
+// so not_run is never answered here.
 func (c *Claimer) finishOrphan(cl *claim, a cassiatally.Answer) {
 	if a.Outcome != cassiatally.OutcomeRan {
 		a = failure(cassiatally.KindOutcomeUnknown, cassiatally.OutcomeUnknown, "the shard passed to another holder during the run")
 	}
-	c.release(cl, a)
+	c.answerWaiters(cl, a)
 }
 
-// locate finds the shard that answers for a key, or the reason why this node
-// does not.
+// locate returns the shard of a key that this node holds, or the refusal when
+// this node cannot answer for the key.
 func (c *Claimer) locate(k cassiatally.Key) (*shard, cassiatally.KeyParts, *cassiatally.Answer) {
 	parts, err := cassiatally.ParseKey(k)
 	if err != nil {
@@ -190,7 +192,7 @@
 		return nil, parts, &a
 	}
 	s := c.shard(parts.Shard)
-	if s == nil || s.role != roleHolder || parts.Epoch > s.current.Epoch {
+	if s == nil || s.role != roleHolder || parts.Epoch > s.inForce.Epoch {
 		a := unavailable()
 		return nil, parts, &a
 	}
@@ -201,10 +203,10 @@
 	return s, parts, nil
 }
 
-// join answers a further call for a known key, or lets it wait.
-func (c *Claimer) join(w waiter, until cassiatally.Instant, s *shard, cl *claim, f cassiatally.Fingerprint) {
+// joinClaim answers a further call for a claimed key, or adds it to the waiters.
+func (c *Claimer) joinClaim(w waiter, until cassiatally.Instant, s *shard, cl *claim, f cassiatally.Fingerprint) {
 	if cl.fingerprint != 0 && cl.fingerprint != f {
-		c.answer(w, c.conflict(s, cl))
+		c.answer(w, c.conflictAnswer(s, cl))
 		return
 	}
 	waits := cl.state == cassiatally.ClaimPending || (cl.state == cassiatally.ClaimVoid && !c.durable(s, cl))
@@ -216,12 +218,13 @@
 		c.answer(w, failure(cassiatally.KindUnavailable, cassiatally.OutcomeUnknown, "too many calls wait for the key; look it up later"))
 		return
 	}
-	c.waiting[w.caller] = cl
+	c.waiting[w.callRef] = cl
 }
 
-// conflict refuses another request under a known key. Until the claim is
-// recorded at the standby, a takeover may forget it and run the other request.
-func (c *Claimer) conflict(s *shard, cl *claim) cassiatally.Answer {
+// conflictAnswer refuses a different request under a claimed key. Until the
+// standby has recorded the claim, a takeover may lose it and run the other
+// request, so the outcome is unknown.
+func (c *Claimer) conflictAnswer(s *shard, cl *claim) cassiatally.Answer {
 	outcome := cassiatally.OutcomeUnknown
 	if c.durable(s, cl) {
 		outcome = cassiatally.OutcomeNotRun
@@ -229,9 +232,9 @@
 	return failure(cassiatally.KindKeyConflict, outcome, "the key belongs to another request; mint a new key")
 }
 
-// closed reports whether the shard takes no new claims.
-func (c *Claimer) closed(now cassiatally.Instant, s *shard) bool {
-	return c.draining || s.peerSealed || s.current.Standby.IsZero() ||
+// rejectsNewClaims reports whether the shard accepts no new claims.
+func (c *Claimer) rejectsNewClaims(now cassiatally.Instant, s *shard) bool {
+	return c.draining || s.standbySealed || s.inForce.Standby.IsZero() ||
 		s.outbox.stalled(now) || len(s.outbox.entries) >= maxOutbox ||
 		len(s.claims) >= maxClaims || c.heldBytes >= maxHeldBytes
 }
@@ -239,33 +242,34 @@
 // durable reports whether the standby has recorded the state of the claim.
 func (c *Claimer) durable(s *shard, cl *claim) bool {
 	early := c.faults.skipAck || c.faults.earlyNotRun && cl.state == cassiatally.ClaimVoid
-	return s.outbox.acked >= cl.need || early
+	return s.outbox.acked >= cl.durableSeq || early
 }
 
-// update has the standby record the state of a claim.
-func (c *Claimer) update(now cassiatally.Instant, s *shard, cl *claim) {
+// replicate sends the state of a claim to the standby.
+func (c *Claimer) replicate(now cassiatally.Instant, s *shard, cl *claim) {
 	for _, w := range cl.waiters {
-		c.waiting[w.caller] = cl
+		c.waiting[w.callRef] = cl
 	}
-	cl.need = s.outbox.add(now, outboxEntry{keys: []cassiatally.Key{cl.key}})
-	c.pump(now, s)
+	cl.durableSeq = s.outbox.add(now, outboxEntry{keys: []cassiatally.Key{cl.key}})
+	c.sendDue(now, s)
 	if c.durable(s, cl) {
-		c.settle(now, s, cl)
+		c.proceedIfDurable(now, s, cl)
 	}
 }
 
-// settle acts on a claim whose state may have become durable.
-func (c *Claimer) settle(now cassiatally.Instant, s *shard, cl *claim) {
+// proceedIfDurable takes the next step of a claim whose state is durable: it
+// answers a void, submits a pending claim, or voids one past its deadline.
+func (c *Claimer) proceedIfDurable(now cassiatally.Instant, s *shard, cl *claim) {
 	if !c.durable(s, cl) {
 		return
 	}
 	switch {
 	case cl.state == cassiatally.ClaimVoid:
-		c.release(cl, cl.result())
+		c.answerWaiters(cl, cl.result())
 	case cl.state != cassiatally.ClaimPending || cl.submitted:
 	case now.Reached(cl.deadline):
 		c.voidExpired(now, cl)
-		c.update(now, s, cl)
+		c.replicate(now, s, cl)
 	default:
 		c.submit(cl)
 	}
@@ -293,35 +297,35 @@
 	c.answers.put(now, cl, failure(cassiatally.KindExpired, cassiatally.OutcomeNotRun, "the deadline passed before the claim was acknowledged"))
 }
 
-// pump sends what is due to the standby.
-func (c *Claimer) pump(now cassiatally.Instant, s *shard) {
-	if s.current.Standby.IsZero() || s.peerSealed {
+// sendDue sends the outbox entries that are due to the standby.
+func (c *Claimer) sendDue(now cassiatally.Instant, s *shard) {
+	if s.inForce.Standby.IsZero() || s.standbySealed {
 		return
 	}
 	for _, e := range s.outbox.due(now) {
-		c.send(s.current.Standby.Node, c.message(s, e))
+		c.send(s.inForce.Standby.Node, c.outboxMessage(s, e))
 	}
 }
 
-func (c *Claimer) message(s *shard, e outboxEntry) cassiatally.Message {
+func (c *Claimer) outboxMessage(s *shard, e outboxEntry) cassiatally.Message {
 	var claims []cassiatally.Claim
 	for _, k := range e.keys {
 		if cl := s.claims[k]; cl != nil {
 			claims = append(claims, cl.record())
 		}
 	}
-	if e.copied {
+	if e.isCopy {
 		return cassiatally.ClaimCopy{
-			Shard: s.ref, Epoch: s.current.Epoch, From: c.self, Seq: e.seq,
-			CompleteFrom: s.completeFrom, Claims: claims, Last: e.last,
+			Shard: s.ref, Epoch: s.inForce.Epoch, From: c.self, Seq: e.seq,
+			CompleteFrom: s.completeFrom, Claims: claims, Last: e.lastPart,
 		}
 	}
 	return cassiatally.ClaimUpdate{
-		Shard: s.ref, Epoch: s.current.Epoch, From: c.self, Seq: e.seq, Claim: claims[0],
+		Shard: s.ref, Epoch: s.inForce.Epoch, From: c.self, Seq: e.seq, Claim: claims[0],
 	}
 }
 
-// startCopy begins the sequence of the epoch with a copy of all claims.
+// startCopy starts the message sequence of the epoch with a copy of all claims.
 func (c *Claimer) startCopy(now cassiatally.Instant, s *shard) {
 	s.outbox = outbox{progressAt: now}
 	var part []cassiatally.Key
@@ -333,46 +337,46 @@
 		}
 		part = append(part, k)
 		if len(part) == copyKeys || size >= copyBytes {
-			s.outbox.add(now, outboxEntry{keys: part, copied: true})
+			s.outbox.add(now, outboxEntry{keys: part, isCopy: true})
 			part, size = nil, 0
 		}
 	}
-	last := s.outbox.add(now, outboxEntry{keys: part, copied: true, last: true})
+	last := s.outbox.add(now, outboxEntry{keys: part, isCopy: true, lastPart: true})
 	for _, k := range keys {
-		s.claims[k].need = last
+		s.claims[k].durableSeq = last
 	}
-	c.pump(now, s)
+	c.sendDue(now, s)
 }
 
-// tickHolder sends again, expires claims, and proposes the next epoch when the
-// standby is gone, a rotation is due, or the node leaves.
+// tickHolder resends to the standby, expires claims, and proposes the next epoch
+// when the standby is gone or stalled, a rotation is due, or the node leaves.
 func (c *Claimer) tickHolder(now cassiatally.Instant, s *shard) {
 	c.expireWaiting(now, s)
-	c.pump(now, s)
-	next := s.current
+	c.sendDue(now, s)
+	next := s.inForce
 	next.Epoch++
 	next.CompleteFrom = s.completeFrom
-	standby, live := c.member(s.current.Standby)
-	synced := len(s.outbox.entries) == 0 && !s.peerSealed
+	standby, live := c.member(s.inForce.Standby)
+	synced := len(s.outbox.entries) == 0 && !s.standbySealed
 	switch {
-	case c.trusts(now, s) && (!live || standby.Leaving || s.outbox.stalled(now)):
-		next.Standby = c.standbyFor(s, c.self, s.current.Standby)
+	case c.memberTableReady(now, s) && (!live || standby.Leaving || s.outbox.stalled(now)):
+		next.Standby = c.standbyFor(s, c.self, s.inForce.Standby)
 		if !next.Standby.IsZero() {
 			c.propose(now, s, next)
 		}
-	case c.draining && synced && s.pending() == 0:
-		next.Holder = s.current.Standby
+	case c.draining && synced && s.pendingCount() == 0:
+		next.Holder = s.inForce.Standby
 		next.Standby = c.standbyFor(s, next.Holder, c.self)
 		c.propose(now, s, next)
-	case synced && (now.Reached(s.rotatedAt.Add(rotateAfter)) || s.minted >= claimsPerRotation):
-		next.CompleteFrom = max(s.completeFrom, s.rotation)
+	case synced && (now.Reached(s.rotatedAt.Add(rotateAfter)) || s.claimsSinceRotation >= claimsPerRotation):
+		next.CompleteFrom = max(s.completeFrom, s.rotationEpoch)
 		s.rotating = true
 		c.propose(now, s, next)
 	}
 }
 
 // expireWaiting voids claims that were not acknowledged before their deadline,
-// and answers the calls for which even the void is not acknowledged in time.
+// and answers the calls whose void was not acknowledged by waitUntil either.
 func (c *Claimer) expireWaiting(now cassiatally.Instant, s *shard) {
 	var expired []*claim
 	for _, e := range s.outbox.entries {
@@ -384,11 +388,11 @@
 	}
 	for _, cl := range expired {
 		if now.Reached(cl.waitUntil) {
-			c.release(cl, unavailable())
+			c.answerWaiters(cl, unavailable())
 		}
 		if cl.state == cassiatally.ClaimPending && now.Reached(cl.deadline) {
 			c.voidExpired(now, cl)
-			c.update(now, s, cl)
+			c.replicate(now, s, cl)
 		}
 	}
 }
--- a/cassiatally/claimer/outbox.go
+++ b/cassiatally/claimer/outbox.go
@@ -8,37 +8,39 @@
 
 const (
 	// resendAfter is how long a holder waits for an acknowledgement before it
-	// sends again.
+	// resends.
 	resendAfter = time.Second
-	// replaceAfter is how long a holder waits for progress before it replaces
-	// its standby.
+	// replaceAfter is how long a holder waits for a new acknowledgement before it
+	// replaces its standby.
 	replaceAfter = 3 * time.Second
-	// outboxWindow bounds the messages to a standby that are not acknowledged. It
-	// leaves most of the 1,024 places of the link writer to other messages.
+	// outboxWindow bounds the unacknowledged messages to a standby. It leaves most
+	// of the 1,024 slots of the link writer's queue to other messages.
 	outboxWindow = 64
-	// maxOutbox bounds the updates that wait for a standby.
+	// maxOutbox is the number of unacknowledged entries from which on a shard
+	// accepts no new claims.
 	maxOutbox = 4096
 	// copyKeys bounds the claims in one message of a copy.
 	copyKeys = 64
-	// copyBytes bounds the stored answers in one message of a copy; a frame holds
-	// a little more than one answer of MaxBody.
+	// copyBytes is the size of stored answers at which a message of a copy ends; a
+	// frame holds a little more than one answer of MaxBody.
 	copyBytes = 512 << 10
 )
 
-// outboxEntry is a message to the standby. Its content is read when it is sent,
-// so the outbox holds keys only.
+// outboxEntry is a message to the standby. The claims are looked up when it is
+// sent, so the outbox holds only keys.
 type outboxEntry struct {
-	seq    uint64
-	keys   []cassiatally.Key
-	copied bool
-	last   bool
+	seq      uint64
+	keys     []cassiatally.Key
+	isCopy   bool
+	lastPart bool
 }
 
-// outbox is the sequence of copies and updates from a holder to its standby.
+// outbox is the ordered queue of unacknowledged copies and updates from a holder
+// to its standby.
 type outbox struct {
 	entries []outboxEntry
 	// sent counts the entries that have been sent at least once.
-	sent       int
+	sentCount  int
 	seq, acked uint64
 	sentAt     cassiatally.Instant
 	progressAt cassiatally.Instant
@@ -57,18 +59,18 @@
 
 // due returns the entries to send now.
 func (o *outbox) due(now cassiatally.Instant) []outboxEntry {
-	if o.sent > 0 && now.Reached(o.sentAt.Add(resendAfter)) {
-		o.sent = 0
+	if o.sentCount > 0 && now.Reached(o.sentAt.Add(resendAfter)) {
+		o.sentCount = 0
 	}
 	end := min(len(o.entries), outboxWindow)
-	if o.sent >= end {
+	if o.sentCount >= end {
 		return nil
 	}
-	if o.sent == 0 {
+	if o.sentCount == 0 {
 		o.sentAt = now
 	}
-	due := o.entries[o.sent:end]
-	o.sent = end
+	due := o.entries[o.sentCount:end]
+	o.sentCount = end
 	return due
 }
 
@@ -80,14 +82,14 @@
 	n := int(seq - o.acked)
 	done := o.entries[:n]
 	o.entries = o.entries[n:]
-	o.sent = max(0, o.sent-n)
+	o.sentCount = max(0, o.sentCount-n)
 	o.acked = seq
 	o.sentAt = now
 	o.progressAt = now
 	return done
 }
 
-// stalled reports whether the standby has been silent for too long.
+// stalled reports whether the standby has acknowledged nothing for replaceAfter.
 func (o *outbox) stalled(now cassiatally.Instant) bool {
 	return len(o.entries) > 0 && now.Reached(o.progressAt.Add(replaceAfter))
 }
--- a/cassiatally/claimer/shard.go
+++ b/cassiatally/claimer/shard.go
@@ -16,32 +16,35 @@
 
 // shard is the state of one shard at this node.
 type shard struct {
-	ref     cassiatally.ShardRef
-	current cassiatally.Assignment
-	role    role
-	since   cassiatally.Instant
-	claims  map[cassiatally.Key]*claim
-	// completeFrom is the lowest epoch whose claims are all known here.
+	ref        cassiatally.ShardRef
+	inForce    cassiatally.Assignment
+	role       role
+	assignedAt cassiatally.Instant
+	claims     map[cassiatally.Key]*claim
+	// completeFrom is the lowest epoch of which this node has all claims.
 	completeFrom cassiatally.Epoch
-	// sealed tells that this node acknowledges nothing of the epoch any more.
+	// sealed is set when this node, as the standby, stopped recording claims of the
+	// epoch before a takeover.
 	sealed bool
 
-	// received is, at a standby, the last sequence number recorded.
-	received uint64
-	// copied tells that the standby has the whole copy of the claims.
-	copied bool
+	// receivedSeq is the last sequence number that the standby has recorded.
+	receivedSeq uint64
+	// copyComplete is set when the standby has received all parts of the copy.
+	copyComplete bool
 
 	outbox outbox
-	// peerSealed tells that the standby has begun a takeover.
-	peerSealed bool
+	// standbySealed is set when the standby has answered that it sealed the epoch
+	// for a takeover.
+	standbySealed bool
 
-	proposal   *cassiatally.Assignment
-	proposedAt cassiatally.Instant
-	rotating   bool
-	rotation   cassiatally.Epoch
-	rotatedAt  cassiatally.Instant
-	// minted counts the claims made since the last rotation.
-	minted int
+	proposal *cassiatally.Assignment
+	// nextProposalAt is when the proposal may be appended again.
+	nextProposalAt cassiatally.Instant
+	rotating       bool
+	rotationEpoch  cassiatally.Epoch
+	rotatedAt      cassiatally.Instant
+	// claimsSinceRotation counts the claims created since the last rotation.
+	claimsSinceRotation int
 }
 
 func newShard(ref cassiatally.ShardRef) *shard {
@@ -50,17 +53,17 @@
 
 func (s *shard) roleOf(self cassiatally.NodeRef) role {
 	switch self {
-	case s.current.Holder:
+	case s.inForce.Holder:
 		return roleHolder
-	case s.current.Standby:
+	case s.inForce.Standby:
 		return roleStandby
 	default:
 		return roleNone
 	}
 }
 
-// keys returns the keys in a fixed order, so that equal histories produce equal
-// actions.
+// keys returns the keys in sorted order, so that the order of the actions is
+// deterministic.
 func (s *shard) keys() []cassiatally.Key {
 	keys := make([]cassiatally.Key, 0, len(s.claims))
 	for k := range s.claims {
@@ -70,7 +73,7 @@
 	return keys
 }
 
-func (s *shard) pending() int {
+func (s *shard) pendingCount() int {
 	n := 0
 	for _, cl := range s.claims {
 		if cl.state == cassiatally.ClaimPending {
--- a/cassiatally/claimer/standby.go
+++ b/cassiatally/claimer/standby.go
@@ -5,51 +5,55 @@
 	"github.com/cassiatally/cassiatally/cassiatally/faultswitch"
 )
 
-// HandleClaimUpdate records a claim as the standby.
+// HandleClaimUpdate records the state of a claim at the standby.
 func (c *Claimer) HandleClaimUpdate(now cassiatally.Instant, from cassiatally.NodeID, m cassiatally.ClaimUpdate) []cassiatally.Action {
 	s := c.shard(m.Shard)
-	if s != nil && c.accepts(s, from, m.Epoch, m.From, m.Seq) && s.copied {
-		s.received = m.Seq
-		c.apply(now, s, m.Claim)
+	if s != nil && c.accepts(s, from, m.Epoch, m.From, m.Seq) && s.copyComplete {
+		s.receivedSeq = m.Seq
+		c.applyClaim(now, s, m.Claim)
 	}
 	c.acknowledge(s, from, m.Epoch, m.From, m.Seq)
-	return c.take()
+	return c.takeActions()
 }
 
-// HandleClaimCopy records a part of the claims of a shard as its new standby.
+// HandleClaimCopy records a part of the copy of a shard's claims at its standby.
 func (c *Claimer) HandleClaimCopy(now cassiatally.Instant, from cassiatally.NodeID, m cassiatally.ClaimCopy) []cassiatally.Action {
 	s := c.shard(m.Shard)
-	if s != nil && c.accepts(s, from, m.Epoch, m.From, m.Seq) && !s.copied {
-		s.received = m.Seq
+	if s != nil && c.accepts(s, from, m.Epoch, m.From, m.Seq) && !s.copyComplete {
+		s.receivedSeq = m.Seq
 		s.completeFrom = max(s.completeFrom, m.CompleteFrom)
 		for _, cl := range m.Claims {
-			c.apply(now, s, cl)
+			c.applyClaim(now, s, cl)
 		}
-		s.copied = m.Last
+		s.copyComplete = m.Last
 	}
 	c.acknowledge(s, from, m.Epoch, m.From, m.Seq)
-	return c.take()
+	return c.takeActions()
 }
 
-// accepts reports whether a message is the next one of the epoch in force.
+// accepts reports whether a message is the next in the sequence of the epoch in
+// force.
 func (c *Claimer) accepts(s *shard, from cassiatally.NodeID, e cassiatally.Epoch, holder cassiatally.NodeRef, seq uint64) bool {
-	return c.standsBy(s, from, e, holder) && seq == s.received+1
+	return c.actsAsStandby(s, from, e, holder) && seq == s.receivedSeq+1
 }
 
-func (c *Claimer) standsBy(s *shard, from cassiatally.NodeID, e cassiatally.Epoch, holder cassiatally.NodeRef) bool {
-	return s.role == roleStandby && !s.sealed && s.current.Epoch == e && s.current.Holder == holder && holder.Node == from
+// actsAsStandby reports whether this node is the unsealed standby of the holder
+// in epoch e, and the message comes from the holder itself.
+func (c *Claimer) actsAsStandby(s *shard, from cassiatally.NodeID, e cassiatally.Epoch, holder cassiatally.NodeRef) bool {
+	return s.role == roleStandby && !s.sealed && s.inForce.Epoch == e && s.inForce.Holder == holder && holder.Node == from
 }
 
-// acknowledge tells the holder how far its messages were recorded. A message of
-// an epoch that is not known yet gets no reply; the holder sends it again.
+// acknowledge sends the holder the last sequence number that was recorded. A
+// message of an epoch that this node has not read yet gets no reply; the holder
+// sends it again.
 func (c *Claimer) acknowledge(s *shard, from cassiatally.NodeID, e cassiatally.Epoch, holder cassiatally.NodeRef, seq uint64) {
-	if s == nil || e > s.current.Epoch {
+	if s == nil || e > s.inForce.Epoch {
 		return
 	}
 	ack := cassiatally.ClaimAck{Shard: s.ref, Epoch: e, From: c.self}
 	switch {
-	case c.standsBy(s, from, e, holder):
-		ack.Seq = s.received
+	case c.actsAsStandby(s, from, e, holder):
+		ack.Seq = s.receivedSeq
 	case c.faults.skipSeal:
 		ack.Seq = seq
 	default:
@@ -58,7 +62,7 @@
 	c.send(from, ack)
 }
 
-func (c *Claimer) apply(now cassiatally.Instant, s *shard, m cassiatally.Claim) {
+func (c *Claimer) applyClaim(now cassiatally.Instant, s *shard, m cassiatally.Claim) {
 	parts, err := cassiatally.ParseKey(m.Key)
 	if err != nil || parts.Epoch < s.completeFrom || faultswitch.Off(faultswitch.StandbyRecord) {
 		return
@@ -74,21 +78,22 @@
 	}
 }
 
-// tickStandby begins a takeover when the holder is gone. Sealing comes before
-// the append, so that no claim is acknowledged that the next holder would miss.
+// tickStandby begins a takeover when the holder is gone. It seals the epoch
+// before the append, so that no claim is acknowledged after the state that this
+// node takes over.
 func (c *Claimer) tickStandby(now cassiatally.Instant, s *shard) {
-	if !c.trusts(now, s) {
+	if !c.memberTableReady(now, s) {
 		return
 	}
-	if _, live := c.member(s.current.Holder); live && !s.sealed {
+	if _, live := c.member(s.inForce.Holder); live && !s.sealed {
 		return
 	}
 	s.sealed = true
-	next := s.current
+	next := s.inForce
 	next.Epoch++
 	next.Holder = c.self
 	next.CompleteFrom = s.completeFrom
-	if !s.copied && !c.faults.partialCopy {
+	if !s.copyComplete && !c.faults.partialCopy {
 		next.CompleteFrom = next.Epoch
 	}
 	next.Standby = c.standbyFor(s, c.self)
