--- a/cassiatally/assigner/assigner.go
+++ b/cassiatally/assigner/assigner.go
@@ -2,22 +2,23 @@
 // and from peers into the shard table, and decides when a shard without a live
 // holder or standby needs a new pair.
 //
-// The log is the only arbiter. An assignment wins when its epoch follows the
-// epoch in force at its place in the log, and when it is a transition that a
-// correct node makes: its holder holds or stands by for the epoch in force, or
-// it gives up the history by naming its own epoch as CompleteFrom. An epoch in
-// force never goes back.
+// The order of the log alone decides between assignments. An assignment wins when
+// its epoch is the next after the epoch in force at its offset, and when it is a
+// transition that a correct node makes: its holder is the holder or the standby
+// of the epoch in force, or it gives up the earlier claims by naming its own epoch
+// as CompleteFrom. The epoch in force never decreases.
 //
-// A reader whose log was cut takes a re-appended record or a peer's table as its
-// base, and judges the records after the place for which the base speaks. A base
-// for a place before the cut is not used: the winner may have been cut off, and
-// a later loser would be taken for it. When neither turns up, as after an outage of a whole data centre, a new
-// pair is appended as a re-appended record whose epoch is above every epoch that
-// the log can have held: an epoch is never above twice the number of records.
+// A reader whose log was truncated takes a re-appended record or a peer's table as
+// its base: the assignment in force at a known offset. It applies the records from
+// that offset on. A base for an offset before the truncation is not used: the
+// winner may have been dropped, and a later loser would be taken for it. When no
+// base arrives, as after an outage of a whole data centre, a new pair is appended
+// as a re-appended record whose epoch is above every epoch that the log can have
+// held: an epoch is never above twice the number of records.
 //
 // # Usage
 //
-// The duty that owns the assigner reads the stream and passes on what it reads:
+// The duty that owns the assigner reads the stream and passes in the records:
 //
 //	a := assigner.New(self, dataCentre, 16)
 //	a.StartAt(batch.First)
@@ -28,15 +29,14 @@
 //	claims.AssignmentsChanged(now, a.Changed())
 //	do(a.Tick(now))
 //
-// Peers pass on their tables when the sum of their epochs is higher:
+// Peers send their tables when the sum of their epochs is higher:
 //
 //	a.Adopt(table)
 //
-// A node that does not follow the log lives on the tables of its peers alone.
+// A node that does not follow the log depends on the tables of its peers alone.
 // While NeedsTable reports true, the owner asks a peer for its whole table.
 //
-// An Assigner is not safe for concurrent use. Snapshot returns a view that is
-// never changed.
+// An Assigner is not safe for concurrent use. Snapshot returns an immutable view.
 package assigner
 
 import (
@@ -47,30 +47,31 @@
 )
 
 const (
-	// turnDelay is how long each member waits for the members before it in
-	// rendezvous order to append the assignment of a shard without a pair.
+	// turnDelay is how long a member waits for each member before it in rendezvous
+	// order to append the assignment of a shard without a live pair.
 	turnDelay = 2 * time.Second
 	// maxReaderDelay bounds the wait for a turn where only the readers of the log
-	// can act. They are few, and may come late in rendezvous order.
+	// can act. They are few, and may all be late in rendezvous order.
 	maxReaderDelay = 3 * turnDelay
 	// orphanGrace is how long holder and standby must both be absent. The member
-	// table of a node that has just started is not complete, and a new pair gives
-	// up the history of the shard.
+	// table of a node that has just started is incomplete, and a new pair gives up
+	// the claims of the shard.
 	orphanGrace = 5 * time.Second
-	// rebaseGrace is how long a cut log must stay without a base before a new pair
-	// is appended. Gossip brings the table of a live peer well before that.
+	// rebaseGrace is how long a reader of a truncated log waits for a base before it
+	// appends a new pair. Gossip delivers the table of a live peer well before that.
 	rebaseGrace = 15 * time.Second
-	// maxHeld bounds the records of a shard that wait for a base. A shard has a few
-	// records in the time that the log keeps them.
-	maxHeld = 256
-	// appendRetry bounds the appends of one shard while the log is down.
+	// maxHeldRecords bounds the records of a shard that wait for a base. A shard has
+	// only a few records within the retention of the log.
+	maxHeldRecords = 256
+	// appendRetry is the least time between two appends of one shard, also while the
+	// log is down.
 	appendRetry = time.Second
-	// reappendFraction of the time that the log keeps a record passes before its
-	// holder appends it again. The other half is left for outages of the log.
-	reappendFraction = 2
+	// reappendDivisor divides the retention of a record: the holder appends it again
+	// after half of it. The other half is left for outages of the log.
+	reappendDivisor = 2
 )
 
-// heldRecord is a record that cannot be judged without a base.
+// heldRecord is a record that cannot be applied until there is a base.
 type heldRecord struct {
 	at     cassiatally.Offset
 	record cassiatally.Assignment
@@ -79,21 +80,21 @@
 // shard is the table entry of one shard.
 type shard struct {
 	inForce cassiatally.Assignment
-	// from is where the run of records that was read without a gap begins.
-	from cassiatally.Offset
-	// held has the records that wait for a base.
+	// contiguousFrom is the offset from which on no record was missed or discarded.
+	contiguousFrom cassiatally.Offset
+	// held contains the records that wait for a base.
 	held []heldRecord
-	// judgeFrom is the offset up to which a peer's table has the winners.
-	judgeFrom cassiatally.Offset
-	// gapped tells that records were dropped before they were read, so the next
-	// record with the following epoch may be the loser of a race.
+	// baseOffset is the offset of the base. The base covers all records before it.
+	baseOffset cassiatally.Offset
+	// gapped is set when the log dropped records before they were read, so that the
+	// next record with the following epoch may be the loser of a race.
 	gapped  bool
 	changed bool
-	// orphanSince is when the shard was first seen without a pair.
+	// orphanSince is when the shard was first found without a live pair.
 	orphanSince cassiatally.Instant
 	orphan      bool
-	// expires is how long the log keeps the record in force; zero when it was not
-	// read from the log.
+	// expires is the time for which the log keeps the record in force, counted from
+	// when it was read; zero when it was not read from the log.
 	expires    time.Duration
 	reappendAt cassiatally.Instant
 	appendedAt cassiatally.Instant
@@ -102,14 +103,14 @@
 
 // Assigner is the shard table of one data centre.
 type Assigner struct {
-	self     cassiatally.NodeRef
-	dc       cassiatally.DataCentre
-	shards   []shard
-	live     []cassiatally.Member
-	next     cassiatally.Offset
-	started  bool
-	complete bool
-	caughtUp bool
+	self          cassiatally.NodeRef
+	dc            cassiatally.DataCentre
+	shards        []shard
+	live          []cassiatally.Member
+	next          cassiatally.Offset
+	started       bool
+	readFromStart bool
+	caughtUp      bool
 }
 
 var _ cassiatally.ShardView = view{}
@@ -119,18 +120,18 @@
 	return &Assigner{self: self, dc: dc, shards: make([]shard, count)}
 }
 
-// StartAt tells the offset at which a batch from the log begins. A batch that
-// begins after the offset that was expected means that records were dropped.
+// StartAt sets the offset at which a batch from the log begins. When it is above
+// Next, the log has dropped records before they were read.
 func (a *Assigner) StartAt(first cassiatally.Offset) {
 	if a.started && first <= a.next {
 		return
 	}
-	a.complete = !a.started && (first == 0 || faultswitch.Off(faultswitch.LogBase))
+	a.readFromStart = !a.started && (first == 0 || faultswitch.Off(faultswitch.LogBase))
 	a.caughtUp = false
 	for i := range a.shards {
 		s := &a.shards[i]
-		s.gapped = s.inForce.Epoch > 0 && s.judgeFrom < first
-		s.from = first
+		s.gapped = s.inForce.Epoch > 0 && s.baseOffset < first
+		s.contiguousFrom = first
 		s.held = nil
 	}
 	a.started = true
@@ -140,16 +141,16 @@
 // Next returns the offset to read from.
 func (a *Assigner) Next() cassiatally.Offset { return a.next }
 
-// EndAt tells where the next batch begins, and whether the reader has reached
-// the end of the log. Before that, a shard without an assignment is not taken
-// to be unassigned.
+// EndAt sets where the next batch begins, and whether the reader has reached the
+// end of the log. Before that, a shard without an assignment is not considered
+// unassigned.
 func (a *Assigner) EndAt(next cassiatally.Offset, reachedEnd bool) {
 	a.next = max(a.next, next)
 	a.caughtUp = a.caughtUp || reachedEnd
 }
 
 // Fold applies the record at an offset, which the log drops after expires. It
-// reports whether the table changed.
+// reports whether the assignment in force changed.
 func (a *Assigner) Fold(now cassiatally.Instant, at cassiatally.Offset, expires time.Duration, as cassiatally.Assignment) bool {
 	if !a.started {
 		a.StartAt(at)
@@ -158,34 +159,34 @@
 		return false
 	}
 	a.next = at + 1
-	s := a.entry(as.Shard)
+	s := a.shardOf(as.Shard)
 	if s == nil {
 		return false
 	}
 	before := s.inForce
-	a.judge(s, at, as)
+	a.applyRecord(s, at, as)
 	changed := s.inForce != before
-	if plain(as) == s.inForce {
+	if withoutReappend(as) == s.inForce {
 		s.expires = expires
-		s.reappendAt = now.Add(expires / reappendFraction)
+		s.reappendAt = now.Add(expires / reappendDivisor)
 		s.appended = false
 	}
 	return changed
 }
 
-// judge applies a record, or holds it until there is a base.
-func (a *Assigner) judge(s *shard, at cassiatally.Offset, as cassiatally.Assignment) {
-	if a.based(s) {
-		if at >= s.judgeFrom && wins(s.inForce, as) {
-			s.put(as)
+// applyRecord applies a record, or holds it until there is a base.
+func (a *Assigner) applyRecord(s *shard, at cassiatally.Offset, as cassiatally.Assignment) {
+	if a.hasBase(s) {
+		if at >= s.baseOffset && wins(s.inForce, as) {
+			s.setInForce(as)
 		}
 		return
 	}
 	switch {
-	case !as.Reappend || as.ReadTo < s.from || as.Epoch < s.inForce.Epoch:
+	case !as.Reappend || as.ReadTo < s.contiguousFrom || as.Epoch < s.inForce.Epoch:
 		s.hold(at, as)
-	case startsAnew(as):
-		// Every epoch before ReadTo is lower, and so is every one that was read since.
+	case startsWithoutBase(as):
+		// Its epoch is above every epoch before ReadTo, and above those read since.
 		if as.Epoch > s.highestHeld() {
 			a.rebase(s, as, at)
 		}
@@ -197,8 +198,8 @@
 
 func (s *shard) hold(at cassiatally.Offset, as cassiatally.Assignment) {
 	s.held = append(s.held, heldRecord{at, as})
-	if len(s.held) > maxHeld {
-		s.from = s.held[0].at + 1
+	if len(s.held) > maxHeldRecords {
+		s.contiguousFrom = s.held[0].at + 1
 		s.held = s.held[1:]
 	}
 }
@@ -211,72 +212,76 @@
 	return highest
 }
 
-// rebase takes an assignment that was in force at an offset, and judges the
-// records that were held from there on.
+// rebase uses an assignment that was in force at an offset as the base, and
+// applies the held records from that offset on.
 func (a *Assigner) rebase(s *shard, as cassiatally.Assignment, from cassiatally.Offset) {
 	if as.Epoch > s.inForce.Epoch {
-		s.put(as)
+		s.setInForce(as)
 	}
 	s.gapped = false
-	s.judgeFrom = max(s.judgeFrom, from)
+	s.baseOffset = max(s.baseOffset, from)
 	held := s.held
 	s.held = nil
 	for _, h := range held {
-		a.judge(s, h.at, h.record)
+		a.applyRecord(s, h.at, h.record)
 	}
 }
 
-// wins reports whether a record takes the place of the assignment in force.
+// wins reports whether a record replaces the assignment in force.
 func wins(cur, as cassiatally.Assignment) bool {
 	switch {
 	case as.Reappend:
-		return startsAnew(as) && as.Epoch > cur.Epoch
+		return startsWithoutBase(as) && as.Epoch > cur.Epoch
 	case cur.Epoch == 0:
 		return as.Epoch == 1
 	default:
-		return as.Epoch == cur.Epoch+1 && follows(cur, as)
+		return as.Epoch == cur.Epoch+1 && validTransition(cur, as)
 	}
 }
 
-// startsAnew reports whether a record is a new pair without a base. Its epoch is
-// above all epochs that the log can have held before ReadTo.
-func startsAnew(as cassiatally.Assignment) bool {
-	return as.Reappend && as.CompleteFrom == as.Epoch && as.Epoch == epochAfter(as.ReadTo)
+// startsWithoutBase reports whether a record assigns a new pair without a base.
+// Its epoch is above all epochs that the log can have held before ReadTo.
+func startsWithoutBase(as cassiatally.Assignment) bool {
+	return as.Reappend && as.CompleteFrom == as.Epoch && as.Epoch == epochAbove(as.ReadTo)
 }
 
-func epochAfter(next cassiatally.Offset) cassiatally.Epoch { return 2 * cassiatally.Epoch(next+1) }
+// epochAbove returns an epoch above all that the log can have held before next.
+func epochAbove(next cassiatally.Offset) cassiatally.Epoch { return 2 * cassiatally.Epoch(next+1) }
 
-// follows reports whether a correct node can append next on top of cur.
-func follows(cur, next cassiatally.Assignment) bool {
+// validTransition reports whether a correct node can append next while cur is in
+// force.
+func validTransition(cur, next cassiatally.Assignment) bool {
 	if next.CompleteFrom < cur.CompleteFrom {
 		return false
 	}
 	return next.CompleteFrom == next.Epoch || next.Holder == cur.Holder || next.Holder == cur.Standby
 }
 
-// Adopt applies the table of a peer. An epoch in force never goes back, and an
-// equal entry confirms one that a gap in the log has made doubtful.
+// Adopt applies the table of a peer and reports whether it changed an assignment
+// in force. The epoch in force never decreases. An equal entry confirms an
+// assignment that a gap in the log has made uncertain.
 //
-// The table is a base for the records from its offset on. A table from before
-// the place where this reader began leaves a gap, so it tells past winners only.
+// The table is a base for the records from its offset on. A table whose offset is
+// before the first record that this reader has leaves a gap: its assignments are
+// put in force, but they are no base.
 func (a *Assigner) Adopt(t cassiatally.ShardTable) bool {
 	changed := false
 	for _, as := range t.Assignments {
-		s := a.entry(as.Shard)
+		s := a.shardOf(as.Shard)
 		if s == nil || as.Epoch < s.inForce.Epoch || (as.Epoch == s.inForce.Epoch && as != s.inForce) {
 			continue
 		}
 		before := s.inForce
 		switch {
-		case a.based(s):
+		case a.hasBase(s):
 			if as != s.inForce {
-				s.put(as)
+				s.setInForce(as)
 			}
-			s.judgeFrom = max(s.judgeFrom, t.Next)
-		case t.Next >= s.from:
+			s.baseOffset = max(s.baseOffset, t.Next)
+		case t.Next >= s.contiguousFrom:
 			a.rebase(s, as, t.Next)
 		case as != s.inForce:
-			s.put(as)
+			s.setInForce(as)
 			s.gapped = true
 		}
 		changed = changed || s.inForce != before
@@ -285,30 +290,31 @@
 }
 
 // NeedsTable reports whether the owner has to ask a peer for its whole table,
-// because the log was cut before it was read.
+// because a shard has no base.
 func (a *Assigner) NeedsTable() bool {
 	for i := range a.shards {
-		if !a.based(&a.shards[i]) {
+		if !a.hasBase(&a.shards[i]) {
 			return true
 		}
 	}
 	return false
 }
 
-// based reports whether the next record in the log can be judged.
-func (a *Assigner) based(s *shard) bool {
-	return !s.gapped && (a.complete || s.inForce.Epoch > 0)
+// hasBase reports whether the next record of the shard can be applied.
+func (a *Assigner) hasBase(s *shard) bool {
+	return !s.gapped && (a.readFromStart || s.inForce.Epoch > 0)
 }
 
-// plain returns an assignment without what only its record in the log has.
-func plain(as cassiatally.Assignment) cassiatally.Assignment {
+// withoutReappend returns an assignment without the fields that only a re-appended
+// record has.
+func withoutReappend(as cassiatally.Assignment) cassiatally.Assignment {
 	as.Reappend = false
 	as.ReadTo = 0
 	return as
 }
 
-func (s *shard) put(as cassiatally.Assignment) {
-	s.inForce = plain(as)
+func (s *shard) setInForce(as cassiatally.Assignment) {
+	s.inForce = withoutReappend(as)
 	s.gapped = false
 	s.changed = true
 	s.orphan = false
@@ -333,17 +339,17 @@
 	return changed
 }
 
-// CoveredTo returns the offset for which the table speaks: what this node has read
-// of the log itself, or what its peers had read when they passed on their tables.
+// CoveredTo returns the offset up to which the table covers the log: this node has
+// read the records before it, or its peers had when they sent their tables.
 func (a *Assigner) CoveredTo() cassiatally.Offset {
 	var known cassiatally.Offset
 	first := true
 	for i := range a.shards {
 		s := &a.shards[i]
-		if !a.based(s) {
+		if !a.hasBase(s) {
 			continue
 		}
-		at := max(a.next, s.judgeFrom)
+		at := max(a.next, s.baseOffset)
 		if first || at < known {
 			known = at
 		}
@@ -352,19 +358,20 @@
 	return known
 }
 
-// Table returns the assignments in force, for a peer that is behind. Assignments
-// that a gap in the log has made doubtful are left out.
+// Table returns the assignments in force, for a peer that is behind. It omits
+// assignments that a gap in the log has made uncertain.
 func (a *Assigner) Table() cassiatally.ShardTable {
 	table := cassiatally.ShardTable{Next: a.CoveredTo()}
 	for i := range a.shards {
-		if a.shards[i].inForce.Epoch > 0 && a.based(&a.shards[i]) {
+		if a.shards[i].inForce.Epoch > 0 && a.hasBase(&a.shards[i]) {
 			table.Assignments = append(table.Assignments, a.shards[i].inForce)
 		}
 	}
 	return table
 }
 
-// SumEpochs returns the sum of all epochs, which gossip carries.
+// SumEpochs returns the sum of all epochs. Gossip carries it, and a peer with a
+// lower sum is behind.
 func (a *Assigner) SumEpochs() cassiatally.Epoch {
 	var sum cassiatally.Epoch
 	for i := range a.shards {
@@ -373,15 +380,15 @@
 	return sum
 }
 
-// Tick returns the appends that are this node's turn: first assignments of
-// shards that lack a live pair, and re-appends of the shards that it holds.
+// Tick returns the appends that are due at this node: new pairs for shards that
+// lack a live one, and re-appends of assignments before the log drops them.
 func (a *Assigner) Tick(now cassiatally.Instant) []cassiatally.Action {
 	var out []cassiatally.Action
 	for i := range a.shards {
 		s := &a.shards[i]
-		as, due := a.fresh(now, cassiatally.ShardID(i))
+		as, due := a.newPair(now, cassiatally.ShardID(i))
 		if !due {
-			as, due = a.reappend(now, s)
+			as, due = a.dueReappend(now, s)
 		}
 		if !due || (s.appended && !now.Reached(s.appendedAt.Add(appendRetry))) {
 			continue
@@ -393,24 +400,26 @@
 	return out
 }
 
-// reappend returns the assignment in force when it nears the end of the log. A
-// holder that does not follow the log may not know, so that readers of the log
-// act in its place in the last quarter of the time.
-func (a *Assigner) reappend(now cassiatally.Instant, s *shard) (cassiatally.Assignment, bool) {
+// dueReappend returns the assignment in force when its record has to be appended
+// again. A holder that does not follow the log may not have the expiry, so the
+// readers of the log append it in the last quarter of the retention.
+func (a *Assigner) dueReappend(now cassiatally.Instant, s *shard) (cassiatally.Assignment, bool) {
 	as := s.inForce
 	as.Reappend = true
-	as.ReadTo = max(a.next, s.judgeFrom)
+	as.ReadTo = max(a.next, s.baseOffset)
 	due := s.reappendAt
 	if as.Holder != a.self {
-		due = due.Add(s.expires / (2 * reappendFraction))
+		due = due.Add(s.expires / (2 * reappendDivisor))
 	}
-	return as, a.based(s) && s.expires > 0 && now.Reached(due)
+	return as, a.hasBase(s) && s.expires > 0 && now.Reached(due)
 }
 
-func (a *Assigner) fresh(now cassiatally.Instant, id cassiatally.ShardID) (cassiatally.Assignment, bool) {
+// newPair returns the first assignment of an orphaned shard once it is this
+// node's turn to append it.
+func (a *Assigner) newPair(now cassiatally.Instant, id cassiatally.ShardID) (cassiatally.Assignment, bool) {
 	s := &a.shards[id]
-	// Only a reader of the log can tell that a shard has no assignment at all.
-	unassigned := !a.based(s) || s.inForce.Epoch == 0
+	// Only a reader of the log can detect that a shard has no assignment at all.
+	unassigned := !a.hasBase(s) || s.inForce.Epoch == 0
 	if (unassigned && !a.caughtUp) || !a.unpaired(s) {
 		s.orphan = false
 		return cassiatally.Assignment{}, false
@@ -420,9 +429,9 @@
 		s.orphanSince = now
 	}
 	ref := cassiatally.ShardRef{DataCentre: a.dc, Shard: id}
-	order := staying(cassiatally.Rendezvous(ref.String(), a.live))
+	order := notLeaving(cassiatally.Rendezvous(ref.String(), a.live))
 	turn := a.turn(order)
-	based := a.based(s)
+	based := a.hasBase(s)
 	wait := time.Duration(turn) * turnDelay
 	if unassigned {
 		wait = min(wait, maxReaderDelay)
@@ -438,20 +447,21 @@
 	}
 	standby, ok := cassiatally.StandbyFor(ref, order[0], order)
 	epoch := s.inForce.Epoch + 1
-	fresh := cassiatally.Assignment{Shard: ref, Holder: order[0].Ref, Standby: standby.Ref}
+	pair := cassiatally.Assignment{Shard: ref, Holder: order[0].Ref, Standby: standby.Ref}
 	if !based {
-		epoch = epochAfter(a.next)
-		fresh.Reappend = true
-		fresh.ReadTo = a.next
+		epoch = epochAbove(a.next)
+		pair.Reappend = true
+		pair.ReadTo = a.next
 	}
-	fresh.Epoch = epoch
-	fresh.CompleteFrom = epoch
-	return fresh, ok
+	pair.Epoch = epoch
+	pair.CompleteFrom = epoch
+	return pair, ok
 }
 
-// unpaired reports whether neither holder nor standby is live, or unknown.
+// unpaired reports whether neither holder nor standby is live, or whether they
+// are uncertain because there is no base.
 func (a *Assigner) unpaired(s *shard) bool {
-	return !a.based(s) || !a.isLive(s.inForce.Holder) && !a.isLive(s.inForce.Standby)
+	return !a.hasBase(s) || !a.isLive(s.inForce.Holder) && !a.isLive(s.inForce.Standby)
 }
 
 func (a *Assigner) isLive(ref cassiatally.NodeRef) bool {
@@ -463,6 +473,7 @@
 	return false
 }
 
+// turn returns the position of this node in the order, or -1.
 func (a *Assigner) turn(order []cassiatally.Member) int {
 	for i := range order {
 		if order[i].Ref == a.self {
@@ -472,7 +483,7 @@
 	return -1
 }
 
-func staying(members []cassiatally.Member) []cassiatally.Member {
+func notLeaving(members []cassiatally.Member) []cassiatally.Member {
 	var stay []cassiatally.Member
 	for _, m := range members {
 		if !m.Leaving {
@@ -506,7 +517,7 @@
 	return cassiatally.KeyParts{Shard: as.Shard, Epoch: as.Epoch, Random: r.Uint64()}.Key(), nil
 }
 
-func (a *Assigner) entry(ref cassiatally.ShardRef) *shard {
+func (a *Assigner) shardOf(ref cassiatally.ShardRef) *shard {
 	if ref.DataCentre != a.dc || int(ref.Shard) >= len(a.shards) {
 		return nil
 	}
--- a/cassiatally/assigner/assigner_test.go
+++ b/cassiatally/assigner/assigner_test.go
@@ -39,8 +39,8 @@
 	return all
 }
 
-// Guards against two readers of one log that come to different winners, and
-// against a reader that adopts the loser of a race whose winner it did not read.
+// Guards against two readers of one log that accept different winners, and
+// against a reader that accepts the loser of a race whose winner it did not read.
 func TestFold(t *testing.T) {
 	first := assignment(1, one, two, 1)
 	cases := []struct {
@@ -51,19 +51,19 @@
 		holder  cassiatally.NodeRef
 	}{
 		{"first assignment from offset 0", 0, []cassiatally.Assignment{first}, 1, one},
-		{"first assignment in a log that was cut", 7, []cassiatally.Assignment{first}, 0, cassiatally.NodeRef{}},
+		{"first assignment in a truncated log", 7, []cassiatally.Assignment{first}, 0, cassiatally.NodeRef{}},
 		{"first of two racing records wins", 0, []cassiatally.Assignment{first, assignment(2, two, three, 1), assignment(2, one, three, 1)}, 2, two},
 		{"a gap in the epochs is ignored", 0, []cassiatally.Assignment{first, assignment(3, two, three, 1)}, 1, one},
-		{"a holder from nowhere is ignored", 0, []cassiatally.Assignment{first, assignment(2, three, two, 1)}, 1, one},
-		{"a new pair gives up the history", 0, []cassiatally.Assignment{first, assignment(2, three, two, 2)}, 2, three},
-		{"history never grows back", 0, []cassiatally.Assignment{assignment(1, one, two, 1), assignment(2, one, two, 2), assignment(3, one, two, 1)}, 2, one},
-		{"a cut log is based on a re-appended record", 7, []cassiatally.Assignment{reappended(assignment(5, one, two, 3), 7), assignment(6, two, three, 3)}, 6, two},
-		{"a re-appended record never goes back", 0, []cassiatally.Assignment{first, assignment(2, two, one, 1), reappended(first, 2)}, 2, two},
-		{"a base speaks for the place where it was read", 7, []cassiatally.Assignment{assignment(6, two, three, 3), reappended(assignment(5, one, two, 3), 7), assignment(6, one, three, 3)}, 6, two},
-		{"a base from before the cut is not used", 7, []cassiatally.Assignment{reappended(assignment(5, one, two, 3), 6), assignment(6, one, three, 3)}, 0, cassiatally.NodeRef{}},
+		{"a holder outside the current pair is ignored", 0, []cassiatally.Assignment{first, assignment(2, three, two, 1)}, 1, one},
+		{"a new pair gives up the earlier claims", 0, []cassiatally.Assignment{first, assignment(2, three, two, 2)}, 2, three},
+		{"CompleteFrom never decreases", 0, []cassiatally.Assignment{assignment(1, one, two, 1), assignment(2, one, two, 2), assignment(3, one, two, 1)}, 2, one},
+		{"a re-appended record is the base of a truncated log", 7, []cassiatally.Assignment{reappended(assignment(5, one, two, 3), 7), assignment(6, two, three, 3)}, 6, two},
+		{"a re-appended record never lowers the epoch", 0, []cassiatally.Assignment{first, assignment(2, two, one, 1), reappended(first, 2)}, 2, two},
+		{"a base covers the records before its ReadTo", 7, []cassiatally.Assignment{assignment(6, two, three, 3), reappended(assignment(5, one, two, 3), 7), assignment(6, one, three, 3)}, 6, two},
+		{"a base from before the truncation is not used", 7, []cassiatally.Assignment{reappended(assignment(5, one, two, 3), 6), assignment(6, one, three, 3)}, 0, cassiatally.NodeRef{}},
 		{"an invalid record does not block the winner", 0, []cassiatally.Assignment{first, assignment(2, three, two, 1), assignment(2, two, three, 1)}, 2, two},
-		{"a new pair after a cut needs no base", 9, []cassiatally.Assignment{reappended(assignment(20, three, two, 20), 9), assignment(21, two, one, 20)}, 21, two},
-		{"a new pair after a cut is above all epochs", 0, []cassiatally.Assignment{first, reappended(assignment(20, three, two, 20), 9)}, 20, three},
+		{"a new pair after a truncation needs no base", 9, []cassiatally.Assignment{reappended(assignment(20, three, two, 20), 9), assignment(21, two, one, 20)}, 21, two},
+		{"a new pair after a truncation is above all epochs", 0, []cassiatally.Assignment{first, reappended(assignment(20, three, two, 20), 9)}, 20, three},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 	}
 }
 
-// Guards against a reader that goes on from its old base after the log dropped
+// Guards against a reader that continues from its old base after the log dropped
 // records that it has not read.
 func TestGapNeedsNewBase(t *testing.T) {
 	is := is.New(t)
@@ -101,8 +101,8 @@
 	is.Equal(len(a.Changed()), 0)
 }
 
-// Guards against a node without the log that ignores tables, that cannot pass
-// them on, or that takes a loser for the winner when it begins to read.
+// Guards against a node that does not follow the log and ignores tables, cannot
+// send them on, or accepts a loser as the winner when it begins to read.
 func TestNodeWithoutLog(t *testing.T) {
 	is := is.New(t)
 	a := assigner.New(three, dc, 1)
@@ -168,7 +168,7 @@
 	is.Equal(len(a.Tick(cassiatally.Instant(40*time.Minute))), 0)
 }
 
-// Guards against keys of a shard that nobody holds.
+// Guards against keys of a shard without a holder.
 func TestMint(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(1, 1))
