--- a/cassiatally/follower/explore_test.go
+++ b/cassiatally/follower/explore_test.go
@@ -18,8 +18,8 @@
 const (
 	worldStep = 100 * time.Millisecond
 	// A quarter of the retention has to cover an outage, the jitter, a repeated
-	// append and a slow one. With a retention of 60 s it does not, and a restart of
-	// all nodes then finds no base.
+	// append and a slow one. With a retention of 60 s it does not: after a restart
+	// of all nodes, no reader finds a base.
 	retention = 120 * time.Second
 	maxOutage = 8 * time.Second
 	// healTime covers a node's start, its pulls and a jittered append.
@@ -48,7 +48,7 @@
 	paused  cassiatally.Instant
 }
 
-// world has nodes, publishers and a log in virtual time.
+// world simulates nodes, publishers and a log in virtual time.
 type world struct {
 	t      *rapid.T
 	rand   *rand.Rand
@@ -57,7 +57,7 @@
 	first  int
 	outage cassiatally.Instant
 	loss   float64
-	// winners has the accepted sheet of each version, folded from the whole log.
+	// winners contains the accepted sheet of each version, from the whole log.
 	winners []cassiatally.SheetRecord
 	nodes   []*node
 	events  []event
@@ -74,7 +74,7 @@
 	return w
 }
 
-// reader reports whether a node follows the log: two of each three do.
+// reader reports whether a node follows the log: two of three do.
 func reader(i int) bool { return i%3 != 2 }
 
 func (w *world) restart(i int) {
@@ -87,15 +87,16 @@
 	}
 }
 
-func (w *world) after(d time.Duration, run func()) {
+func (w *world) schedule(d time.Duration, run func()) {
 	w.events = append(w.events, event{w.now.Add(d), run})
 }
 
-// later runs what concerns a node unless it was restarted, once it is not paused.
-func (w *world) later(n *node, d time.Duration, run func()) {
-	w.after(d, func() {
+// scheduleAtNode runs an event of a node after a delay and after the end of its pause,
+// unless the node was restarted in between.
+func (w *world) scheduleAtNode(n *node, d time.Duration, run func()) {
+	w.schedule(d, func() {
 		if w.now.Before(n.paused) {
-			w.later(n, n.paused.Sub(w.now), run)
+			w.scheduleAtNode(n, n.paused.Sub(w.now), run)
 			return
 		}
 		for _, live := range w.nodes {
@@ -114,10 +115,10 @@
 		case cassiatally.AdoptSheet:
 			w.adopt(n, a.Record)
 		case cassiatally.AppendSheet:
-			// The append is under way when its writer is paused or restarted.
-			w.after(w.delay()*time.Duration(1+w.rand.IntN(20)), func() { w.append(a.Record) })
+			// A pause or restart of the node does not stop an append in flight.
+			w.schedule(w.delay()*time.Duration(1+w.rand.IntN(20)), func() { w.append(a.Record) })
 		case cassiatally.ReadLog:
-			w.later(n, w.delay()+worldStep, func() { w.read(n, a.From) })
+			w.scheduleAtNode(n, w.delay()+worldStep, func() { w.read(n, a.From) })
 		case cassiatally.Send:
 			w.send(n, a)
 		}
@@ -169,7 +170,7 @@
 		if to.ref.Node != a.To {
 			continue
 		}
-		w.later(to, w.delay(), func() {
+		w.scheduleAtNode(to, w.delay(), func() {
 			switch m := a.Message.(type) {
 			case cassiatally.SheetPull:
 				w.do(to, to.HandlePull(w.now, from.ref.Node, m))
@@ -180,9 +181,9 @@
 	}
 }
 
-// pass advances time: the log drops what expired, messages arrive, nodes tick
-// and tell each other their versions.
-func (w *world) pass(d time.Duration) {
+// advance moves time on: the log drops expired records, messages arrive, nodes
+// tick and gossip their versions.
+func (w *world) advance(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(worldStep)
 		for w.first < len(w.log) && w.now.Reached(w.log[w.first].expires) {
@@ -213,7 +214,7 @@
 	for range 2 {
 		to, v := w.nodes[w.rand.IntN(len(w.nodes))], n.Version()
 		if to != n && w.rand.Float64() >= w.loss {
-			w.later(to, w.delay(), func() { w.do(to, to.HandleVersion(w.now, n.ref.Node, v)) })
+			w.scheduleAtNode(to, w.delay(), func() { w.do(to, to.HandleVersion(w.now, n.ref.Node, v)) })
 		}
 	}
 }
@@ -231,13 +232,13 @@
 	i := rapid.IntRange(0, worldNodes-1).Draw(w.t, "node")
 	switch rapid.SampledFrom([]string{"pass", "pass", "publish", "race", "restart", "restart all", "pause", "outage", "loss"}).Draw(w.t, "step") {
 	case "pass":
-		w.pass(time.Duration(rapid.IntRange(1, 300).Draw(w.t, "steps")) * worldStep)
+		w.advance(time.Duration(rapid.IntRange(1, 300).Draw(w.t, "steps")) * worldStep)
 	case "publish":
 		w.publish(0)
 	case "race":
-		// The loser's record can be the first that a truncated log still has.
+		// The loser's record can become the first record of the truncated log.
 		w.publish(0)
-		w.pass(time.Duration(rapid.IntRange(0, 200).Draw(w.t, "gap")) * worldStep)
+		w.advance(time.Duration(rapid.IntRange(0, 200).Draw(w.t, "gap")) * worldStep)
 		w.publish(1)
 	case "restart":
 		w.restart(i)
@@ -248,7 +249,8 @@
 	case "pause":
 		w.nodes[i].paused = w.now.Add(time.Duration(rapid.IntRange(1, 100).Draw(w.t, "pause")) * worldStep)
 	case "outage":
-		// The log is up between two outages, so that a copy can be appended.
+		// The log is up for a while between two outages, so that the record in force
+		// can be appended again.
 		if w.now.Reached(w.outage.Add(2 * maxOutage)) {
 			w.outage = w.now.Add(maxOutage)
 		}
@@ -257,8 +259,8 @@
 	}
 }
 
-// Guards against a version that reverts, the sheet of a racing loser in force,
-// and nodes that do not come to the log's winner after races, lost messages,
+// Guards against a version that decreases, the sheet of a racing loser in force,
+// and nodes that do not converge on the log's winner after races, lost messages,
 // outages and truncation of the log, pauses and restarts.
 func TestAllNodesConvergeOnTheWinner(t *testing.T) {
 	is := is.New(t)
@@ -279,7 +281,7 @@
 		}
 		w.loss = 0
 		w.outage = min(w.outage, w.now)
-		w.pass(healTime)
+		w.advance(healTime)
 		for _, n := range w.nodes {
 			if int(n.Version()) != len(w.winners)-1 {
 				t.Fatalf("node %s has version %d, the log accepted %d", n.ref, n.Version(), len(w.winners)-1)
@@ -293,7 +295,7 @@
 		}
 	})
 	t.Logf("log truncated in %d worlds, raced for in %d", truncated, raced)
-	// A world in which the log is never truncated would prove little.
+	// Runs without truncated logs and races would not test the rules for them.
 	is.True(truncated > 30)
 	is.True(raced > 30)
 }
--- a/cassiatally/follower/follower.go
+++ b/cassiatally/follower/follower.go
@@ -1,5 +1,5 @@
 // Package follower decides which sheet is in force on a node. It folds the log
-// when the node is a log reader of its data centre, takes records from other
+// when the node is a log reader of its data centre, accepts records from other
 // nodes, and appends the record in force again before the log drops it.
 //
 // # Usage
@@ -11,7 +11,7 @@
 //	do(f.Tick(now))               // every 100 ms
 //
 // Actions are ReadLog, AppendSheet, AdoptSheet, and Send of SheetPull and
-// SheetRecord. The version in force only grows.
+// SheetRecord. The version in force never decreases.
 package follower
 
 import (
@@ -26,25 +26,26 @@
 	// Stream is the stream of the log that holds the sheets.
 	Stream = cassiatally.Stream("sheet")
 
-	// pullPause bounds how often records are pulled from peers.
-	pullPause = 200 * time.Millisecond
-	// settleTime and settlePeers bound how long a node that starts empty looks for
-	// a higher version before it puts one in force.
-	settleTime  = 2 * time.Second
-	settlePeers = 2
-	// reappendFraction is the part of the retention that is left when the record in
-	// force is appended again, as the divisor. It leaves time for an outage of the log.
-	reappendFraction = 4
-	// reappendPause is the least time between two appends of the record in force.
-	reappendPause = 5 * time.Second
-	// reappendJitter keeps two log readers from appending at the same time.
+	// pullInterval is the least time between two pulls of records from peers.
+	pullInterval = 200 * time.Millisecond
+	// searchTimeout and searchPeers bound how long a node that starts without a
+	// sheet asks its peers for a higher version before it puts one in force.
+	searchTimeout = 2 * time.Second
+	searchPeers   = 2
+	// reappendDivisor divides the retention: the record in force is appended again
+	// when a quarter of it is left. That leaves time for an outage of the log.
+	reappendDivisor = 4
+	// reappendInterval is the least time between two appends of the record in force.
+	reappendInterval = 5 * time.Second
+	// reappendJitter bounds the random delay that keeps two log readers from
+	// appending at the same time.
 	reappendJitter = 4 * time.Second
 )
 
-// Config has what a follower knows about its node.
+// Config identifies the node of a follower.
 type Config struct{ Self cassiatally.NodeRef }
 
-// Record is a decoded record of the log.
+// Record is a decoded record of the log, which drops it after Expires.
 type Record struct {
 	Offset  cassiatally.Offset
 	Expires time.Duration
@@ -52,36 +53,38 @@
 	Sheet *cassiatally.SheetRecord
 }
 
-// Batch is a decoded run of records of the log.
+// Batch is a decoded result of a read. First is the oldest offset that the log
+// still has, Next the offset to read from next.
 type Batch struct {
 	First, Next cassiatally.Offset
 	Records     []Record
 }
 
-// Follower is the sheet in force of one node.
+// Follower tracks the sheet in force of one node. It is not safe for concurrent
+// use.
 type Follower struct {
 	cfg    Config
 	rand   cassiatally.Rand
 	folder sheetfolder.Folder
 
-	started   bool
-	startedAt cassiatally.Instant
-	settled   bool
-	offers    map[cassiatally.NodeID]cassiatally.SheetRecord
-	inForce   cassiatally.Version
+	started    bool
+	startedAt  cassiatally.Instant
+	searchDone bool
+	offers     map[cassiatally.NodeID]cassiatally.SheetRecord
+	inForce    cassiatally.Version
 
-	follows  bool
-	reading  bool
-	caughtUp bool
-	pulledAt cassiatally.Instant
+	followsLog bool
+	reading    bool
+	caughtUp   bool
+	pulledAt   cassiatally.Instant
 
 	// baseExpires is when the log drops the newest record that a reader without a
-	// sheet can start from: the one at offset 0 or a re-appended one. All records
-	// after it are still there, the one in force among them.
-	baseExpires cassiatally.Instant
-	based       bool
-	longest     time.Duration
-	appendAt    cassiatally.Instant
+	// sheet can start from: the one at offset 0 or a re-appended one. Until then the
+	// log has all records after it, among them the one in force.
+	baseExpires      cassiatally.Instant
+	hasBase          bool
+	longestRetention time.Duration
+	reappendAt       cassiatally.Instant
 }
 
 // New returns a follower without a sheet.
@@ -92,42 +95,42 @@
 // Version returns the version in force.
 func (f *Follower) Version() cassiatally.Version { return f.inForce }
 
-// MembersChanged tells which nodes of the data centre follow the log.
+// MembersChanged sets the nodes of the data centre that follow the log.
 func (f *Follower) MembersChanged(_ cassiatally.Instant, readers []cassiatally.NodeRef) []cassiatally.Action {
-	f.follows = false
+	f.followsLog = false
 	for _, r := range readers {
-		f.follows = f.follows || r == f.cfg.Self
+		f.followsLog = f.followsLog || r == f.cfg.Self
 	}
-	return f.read()
+	return f.requestRead()
 }
 
-// Tick does what is due by time.
+// Tick carries out the work that is due at now.
 func (f *Follower) Tick(now cassiatally.Instant) []cassiatally.Action {
 	if !f.started {
 		f.started = true
 		f.startedAt = now
 	}
-	actions := f.settle(now)
+	actions := f.endSearch(now)
 	actions = append(actions, f.reappend(now)...)
-	return append(actions, f.read()...)
+	return append(actions, f.requestRead()...)
 }
 
-func (f *Follower) read() []cassiatally.Action {
-	if f.reading || !f.follows {
+func (f *Follower) requestRead() []cassiatally.Action {
+	if f.reading || !f.followsLog {
 		return nil
 	}
 	f.reading = true
 	return []cassiatally.Action{cassiatally.ReadLog{Stream: Stream, From: f.folder.Next()}}
 }
 
-// ReadFailed tells that the log did not answer.
+// ReadFailed reports that the log did not answer, and returns the next ReadLog.
 func (f *Follower) ReadFailed(_ cassiatally.Instant) []cassiatally.Action {
 	f.reading = false
 	f.caughtUp = false
-	return f.read()
+	return f.requestRead()
 }
 
-// HandleBatch takes what a ReadLog returned.
+// HandleBatch folds the result of a ReadLog.
 func (f *Follower) HandleBatch(now cassiatally.Instant, b Batch) []cassiatally.Action {
 	f.reading = false
 	f.folder.Start(b.First)
@@ -137,17 +140,17 @@
 		} else {
 			f.folder.Apply(r.Offset, *r.Sheet)
 		}
-		f.noteBase(now, r)
+		f.recordBase(now, r)
 	}
 	f.caughtUp = len(b.Records) == 0
-	f.settled = f.settled || (f.caughtUp && f.folder.HasBase())
-	return append(f.adopt(), f.read()...)
+	f.searchDone = f.searchDone || (f.caughtUp && f.folder.HasBase())
+	return append(f.adopt(), f.requestRead()...)
 }
 
-func (f *Follower) noteBase(now cassiatally.Instant, r Record) {
-	f.longest = max(f.longest, r.Expires)
+func (f *Follower) recordBase(now cassiatally.Instant, r Record) {
+	f.longestRetention = max(f.longestRetention, r.Expires)
 	if r.Offset == 0 || f.isCopy(r.Sheet) {
-		f.based = true
+		f.hasBase = true
 		f.baseExpires = now.Add(r.Expires)
 	}
 }
@@ -158,14 +161,14 @@
 	return ok && r != nil && r.Reappend && r.Version == current.Version && r.Digest == current.Digest
 }
 
-// adopt puts the current record in force when it is newer.
+// adopt puts the current record of the folder in force when its version is higher.
 func (f *Follower) adopt() []cassiatally.Action {
 	current, ok := f.folder.Current()
 	lower := current.Version <= f.inForce
 	if faultswitch.Off(faultswitch.VersionGrowth) {
 		lower = current.Version == f.inForce
 	}
-	if !ok || !f.settled || lower {
+	if !ok || !f.searchDone || lower {
 		return nil
 	}
 	f.inForce = current.Version
@@ -173,26 +176,27 @@
 	return []cassiatally.Action{cassiatally.AdoptSheet{Record: current}}
 }
 
-// settle ends the search of a node that started empty.
-func (f *Follower) settle(now cassiatally.Instant) []cassiatally.Action {
-	if !f.settled && (len(f.offers) >= settlePeers || now.Sub(f.startedAt) >= settleTime) {
-		f.settled = true
+// endSearch ends the search of a node that started without a sheet, after
+// searchTimeout or when searchPeers peers have sent a record.
+func (f *Follower) endSearch(now cassiatally.Instant) []cassiatally.Action {
+	if !f.searchDone && (len(f.offers) >= searchPeers || now.Sub(f.startedAt) >= searchTimeout) {
+		f.searchDone = true
 	}
 	return f.adopt()
 }
 
-// HandleVersion takes the version that a peer has in force.
+// HandleVersion pulls the record of a peer whose version in force is higher.
 func (f *Follower) HandleVersion(now cassiatally.Instant, from cassiatally.NodeID, v cassiatally.Version) []cassiatally.Action {
 	_, offered := f.offers[from]
-	missing := v > f.inForce || (!f.settled && v > 0 && !offered)
-	if !missing || (f.settled && !now.Reached(f.pulledAt.Add(pullPause))) {
+	missing := v > f.inForce || (!f.searchDone && v > 0 && !offered)
+	if !missing || (f.searchDone && !now.Reached(f.pulledAt.Add(pullInterval))) {
 		return nil
 	}
 	f.pulledAt = now
 	return []cassiatally.Action{cassiatally.Send{To: from, Message: cassiatally.SheetPull{Have: f.inForce}}}
 }
 
-// HandlePull answers a peer that asks for a newer record.
+// HandlePull sends the record in force to a peer that has a lower version.
 func (f *Follower) HandlePull(_ cassiatally.Instant, from cassiatally.NodeID, m cassiatally.SheetPull) []cassiatally.Action {
 	current, ok := f.folder.Current()
 	if !ok || current.Version != f.inForce || current.Version <= m.Have {
@@ -201,39 +205,39 @@
 	return []cassiatally.Action{cassiatally.Send{To: from, Message: current}}
 }
 
-// HandleRecord takes a record from a peer.
+// HandleRecord applies a record from a peer, unless its digest is wrong.
 func (f *Follower) HandleRecord(now cassiatally.Instant, from cassiatally.NodeID, r cassiatally.SheetRecord) []cassiatally.Action {
 	if cassiatally.DigestOf(r.Sheet) != r.Digest {
 		return nil
 	}
 	f.folder.Adopt(r)
-	if !f.settled {
+	if !f.searchDone {
 		f.offers[from] = r
 	}
-	return f.settle(now)
+	return f.endSearch(now)
 }
 
 // reappend appends the record in force again when the log is about to drop the
-// newest base. To wait for the newest copy instead is not enough: with frequent
-// publishing it is always young, the log is truncated all the same, and readers
-// that restart find no base, until no reader is left that accepts new sheets.
+// newest base. The age of the record in force is no substitute: with frequent
+// publishing it is always young, yet the log drops the base, readers that restart
+// find none, and finally no reader is left that accepts new sheets.
 func (f *Follower) reappend(now cassiatally.Instant) []cassiatally.Action {
-	if !f.follows || !f.caughtUp || f.inForce == 0 || !f.baseEnds(now) {
-		f.appendAt = 0
+	if !f.followsLog || !f.caughtUp || f.inForce == 0 || !f.baseExpiresSoon(now) {
+		f.reappendAt = 0
 		return nil
 	}
-	if f.appendAt == 0 {
-		f.appendAt = now.Add(time.Duration(f.rand.Float64() * float64(reappendJitter)))
+	if f.reappendAt == 0 {
+		f.reappendAt = now.Add(time.Duration(f.rand.Float64() * float64(reappendJitter)))
 	}
-	if now.Before(f.appendAt) {
+	if now.Before(f.reappendAt) {
 		return nil
 	}
-	f.appendAt = now.Add(reappendPause)
+	f.reappendAt = now.Add(reappendInterval)
 	current, _ := f.folder.Current()
 	current.Reappend = true
 	return []cassiatally.Action{cassiatally.AppendSheet{Record: current}}
 }
 
-func (f *Follower) baseEnds(now cassiatally.Instant) bool {
-	return !f.based || now.Reached(f.baseExpires.Add(-f.longest/reappendFraction))
+func (f *Follower) baseExpiresSoon(now cassiatally.Instant) bool {
+	return !f.hasBase || now.Reached(f.baseExpires.Add(-f.longestRetention/reappendDivisor))
 }
--- a/cassiatally/follower/follower_test.go
+++ b/cassiatally/follower/follower_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// adopted returns the versions that actions put in force.
+// adopted returns the versions that the actions put in force.
 func adopted(actions []cassiatally.Action) []cassiatally.Version {
 	var out []cassiatally.Version
 	for _, a := range actions {
@@ -46,8 +46,8 @@
 	return n
 }
 
-// Guards against a node that serves with an old sheet because it trusts the
-// first peer that answers, or that waits for ever for a second one.
+// Guards against a node without a sheet that puts an old one in force because it
+// uses the first peer's answer, or that waits forever for a second answer.
 func TestEmptyNode(t *testing.T) {
 	damaged := sheet(9, "damaged")
 	damaged.Sheet = []byte("other text")
@@ -62,7 +62,7 @@
 		{"the higher of two peers", []cassiatally.SheetRecord{sheet(4, "d"), sheet(3, "c")}, false, 4},
 		{"a record with a wrong digest", []cassiatally.SheetRecord{damaged, sheet(3, "c")}, true, 3},
 		{"a wrong digest is no second offer", []cassiatally.SheetRecord{damaged, sheet(3, "c")}, false, 0},
-		{"nobody answers", nil, true, 0},
+		{"no peer answers", nil, true, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 }
 
 // Guards against two readers that both append the sheet in force again, and
-// against a copy that expires because neither does.
+// against a sheet that expires because neither does.
 func TestReappendBeforeExpiry(t *testing.T) {
 	is := is.New(t)
 	f := follower.New(follower.Config{Self: self}, fixedRand{value: 0.5})
@@ -125,7 +125,7 @@
 }
 
 // Guards against the sheet of a racing loser in force on a node whose log starts
-// with that record, because the winner's was dropped already.
+// with that record, because the log has already dropped the winner's.
 func TestTruncatedLogStartsWithLoser(t *testing.T) {
 	is := is.New(t)
 	f := follower.New(follower.Config{Self: self}, fixedRand{})
@@ -145,7 +145,7 @@
 	}
 	is.Equal(read(40, loser), nil)
 	f.Tick(at(3 * time.Second))
-	is.Equal(f.Version(), cassiatally.Version(0)) // not even when nothing else is known
+	is.Equal(f.Version(), cassiatally.Version(0)) // not even without any other record
 	is.Equal(read(41, winner), []cassiatally.Version{5})
 	is.Equal(read(42, next), []cassiatally.Version{6})
 }
