--- a/cassiatally/faultswitch/on.go
+++ b/cassiatally/faultswitch/on.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// switchedOff is read once, since a mechanism stays off for the life of a process.
+// switchedOff is read once; a mechanism stays off for the life of the process.
 var switchedOff = strings.Split(os.Getenv("CASSIATALLY_SWITCH_OFF"), ",")
 
 // Off reports whether a mechanism is switched off.
