--- a/cassiatally/sheetfolder/folder.go
+++ b/cassiatally/sheetfolder/folder.go
@@ -1,6 +1,6 @@
 // Package sheetfolder decides which records of the stream sheet are accepted. It
-// reads the records in log order, so that every reader of the log comes to the
-// same version.
+// reads the records in log order, so that every reader of the log puts the same
+// version in force.
 //
 // # Usage
 //
@@ -16,15 +16,16 @@
 // A record is accepted when it is based on the version in force and its version
 // is the next one. A re-appended record of the version in force changes nothing.
 //
-// When the log no longer has a record that was not read, it cannot be told which
-// of the records that are left were accepted. The next re-appended record is
+// When the log dropped a record before it was read, the folder cannot determine
+// which of the remaining records were accepted. The next re-appended record is
 // then the base. It may be old, because its writer may have been paused. Two
-// rules keep an old base from hiding the version in force. A publisher appends
-// only what is based on a version that it read as accepted, so after a record of
-// version n the version in force is at least n; a re-appended record below that
-// is no base, and a record above the next version takes the base away. And only
-// accepted records are re-appended, so one with the version in force and another
-// sheet overrules what was folded without the lost records.
+// rules prevent an old base from hiding the version in force. First, a publisher
+// appends only a record that is based on a version that it read as accepted, so
+// after a record of version n the version in force is at least n. A re-appended
+// record below n is no base, and a record above the next version invalidates the
+// base. Second, only accepted records are re-appended, so a re-appended record
+// with the version in force and another sheet replaces what was folded without
+// the missed records.
 package sheetfolder
 
 import (
@@ -36,47 +37,49 @@
 // record at offset 0. It is not safe for concurrent use.
 type Folder struct {
 	next cassiatally.Offset
-	// lost is set when records were dropped by the log before they were read.
-	lost bool
-	// based is set when a base was found after the loss.
-	based bool
-	// atLeast is the highest version read since the loss, at the offset seenAt.
-	atLeast cassiatally.Version
-	seenAt  cassiatally.Offset
-	folded  cassiatally.SheetRecord
-	// adopted comes from a peer. It is kept apart from folded: a record that is
-	// based on it may stand in the log before it, and was then not accepted.
+	// missed is set when the log dropped records before they were read.
+	missed bool
+	// hasBase is set when a base was found after records were missed.
+	hasBase bool
+	// minVersion is the highest version read since records were missed, at the
+	// offset minVersionAt. The version in force is at least minVersion.
+	minVersion   cassiatally.Version
+	minVersionAt cassiatally.Offset
+	folded       cassiatally.SheetRecord
+	// adopted comes from a peer. It is not merged into folded: a record that is
+	// based on it may precede it in the log, and was then not accepted.
 	adopted cassiatally.SheetRecord
 }
 
-// Start tells the oldest offset that the log still has. It is called for each
-// batch before its records.
+// Start sets the oldest offset that the log still has. It has to be called for
+// each batch, before its records are applied.
 func (f *Folder) Start(first cassiatally.Offset) {
-	f.reach(first)
-	if first > f.seenAt {
-		// A record that nobody could have based on an accepted version must not
-		// keep the folder without a base for longer than the log has it.
-		f.atLeast = 0
+	f.advanceTo(first)
+	if first > f.minVersionAt {
+		// An invalid record, based on a version that was never accepted, must not
+		// keep the folder without a base after the log has dropped it.
+		f.minVersion = 0
 	}
 }
 
-// reach moves on to an offset and notes whether records were left out.
-func (f *Folder) reach(o cassiatally.Offset) {
+// advanceTo moves to an offset and records whether others were missed before it.
+func (f *Folder) advanceTo(o cassiatally.Offset) {
 	if o > f.next {
 		f.next = o
-		f.lost = true
-		f.based = false
+		f.missed = true
+		f.hasBase = false
 	}
 }
 
-// Skip takes the next record in log order when it holds no sheet.
+// Skip passes the next record in log order when it holds no sheet.
 func (f *Folder) Skip(o cassiatally.Offset) {
-	f.reach(o)
+	f.advanceTo(o)
 	f.next = max(f.next, o+1)
 }
 
-// Apply takes the next record in log order and reports whether it is accepted. A
-// record that was read before is ignored, as is one whose digest or versions do not match.
+// Apply folds the next record in log order and reports whether it is accepted. It
+// ignores a record that was read before, and one whose digest or versions are
+// inconsistent.
 func (f *Folder) Apply(o cassiatally.Offset, r cassiatally.SheetRecord) (accepted bool) {
 	if o < f.next {
 		return false
@@ -88,22 +91,23 @@
 	accepted = f.accepts(r)
 	if accepted {
 		f.folded = r
-		f.based = true
+		f.hasBase = true
 	}
-	if f.lost {
-		f.observe(o, r)
+	if f.missed {
+		f.raiseMinVersion(o, r)
 	}
 	return accepted
 }
 
-// observe notes that the version in force is at least that of the record.
-func (f *Folder) observe(o cassiatally.Offset, r cassiatally.SheetRecord) {
-	if r.Version >= f.atLeast {
-		f.atLeast = r.Version
-		f.seenAt = o
+// raiseMinVersion records that the version in force is at least that of the
+// record, which invalidates a lower base.
+func (f *Folder) raiseMinVersion(o cassiatally.Offset, r cassiatally.SheetRecord) {
+	if r.Version >= f.minVersion {
+		f.minVersion = r.Version
+		f.minVersionAt = o
 	}
 	if r.Version > f.folded.Version {
-		f.based = false
+		f.hasBase = false
 	}
 }
 
@@ -111,14 +115,14 @@
 	if !r.Reappend {
 		return f.HasBase() && r.BasedOn == f.folded.Version
 	}
-	if !f.lost || r.Version < max(f.folded.Version, f.atLeast) {
+	if !f.missed || r.Version < max(f.folded.Version, f.minVersion) {
 		return false
 	}
-	return !f.based || r.Version > f.folded.Version || r.Digest != f.folded.Digest
+	return !f.hasBase || r.Version > f.folded.Version || r.Digest != f.folded.Digest
 }
 
-// Adopt takes the version in force of a peer that has folded the log, and
-// reports whether it is newer. The version in force only grows.
+// Adopt applies the record in force of a peer that has folded the log, and reports
+// whether its version is higher. The version in force never decreases.
 func (f *Folder) Adopt(r cassiatally.SheetRecord) bool {
 	current, _ := f.Current()
 	if cassiatally.DigestOf(r.Sheet) != r.Digest || r.Version <= current.Version && !faultswitch.Off(faultswitch.VersionGrowth) {
@@ -128,8 +132,8 @@
 	return true
 }
 
-// Current returns the record in force. It is false when no version is known.
-// While HasBase is false, a newer version may be in force.
+// Current returns the record in force, or false when there is none. While HasBase
+// is false, a newer version may be in force in the log.
 func (f *Folder) Current() (cassiatally.SheetRecord, bool) {
 	lower := faultswitch.Off(faultswitch.VersionGrowth) && f.adopted.Version > 0
 	if lower || f.adopted.Version > f.folded.Version {
@@ -138,8 +142,8 @@
 	return f.folded, f.folded.Version > 0
 }
 
-// HasBase reports whether the next accepted record can be recognised.
-func (f *Folder) HasBase() bool { return !f.lost || f.based }
+// HasBase reports whether the folder can determine which record is accepted next.
+func (f *Folder) HasBase() bool { return !f.missed || f.hasBase }
 
 // Next returns the offset to read from next.
 func (f *Folder) Next() cassiatally.Offset { return f.next }
--- a/cassiatally/sheetfolder/folder_test.go
+++ b/cassiatally/sheetfolder/folder_test.go
@@ -18,7 +18,7 @@
 }
 
 // Guards against readers that disagree on the version in force: a version that
-// reverts, two winners of one race, and a base that was never accepted.
+// decreases, two winners of one race, and a base that was never accepted.
 func TestFold(t *testing.T) {
 	damaged := record(1, 0, false)
 	damaged.Sheet = []byte("another sheet")
@@ -39,11 +39,11 @@
 		{"version left out", 0, []cassiatally.SheetRecord{record(1, 0, false), record(3, 1, false), record(3, 2, false)}, []bool{true, false, false}, 1, true},
 		{"re-append of the version in force", 0, []cassiatally.SheetRecord{record(1, 0, false), record(1, 0, true), record(2, 1, false)}, []bool{true, false, true}, 2, true},
 		{"late re-append of an older version", 0, []cassiatally.SheetRecord{record(1, 0, false), record(2, 1, false), record(1, 0, true)}, []bool{true, true, false}, 2, true},
-		{"re-append is the base after a loss", 40, []cassiatally.SheetRecord{record(5, 4, false), record(5, 4, true), record(6, 5, false)}, []bool{false, true, true}, 6, true},
-		{"later re-append overrules a loser after a loss", 46, []cassiatally.SheetRecord{record(5, 4, true), loser, record(6, 5, true), record(6, 5, true)}, []bool{true, true, true, false}, 6, true},
+		{"re-append is the base after missed records", 40, []cassiatally.SheetRecord{record(5, 4, false), record(5, 4, true), record(6, 5, false)}, []bool{false, true, true}, 6, true},
+		{"later re-append replaces a loser after missed records", 46, []cassiatally.SheetRecord{record(5, 4, true), loser, record(6, 5, true), record(6, 5, true)}, []bool{true, true, true, false}, 6, true},
 		{"old re-append is no base after a newer record", 46, []cassiatally.SheetRecord{record(7, 6, false), record(6, 5, true), loser}, []bool{false, false, false}, 0, false},
-		{"newer record takes an old base away", 46, []cassiatally.SheetRecord{record(5, 4, true), record(7, 6, false), loser, record(7, 6, true)}, []bool{true, false, false, true}, 7, true},
-		{"no base after a loss", 40, []cassiatally.SheetRecord{record(1, 0, false), record(2, 1, false)}, []bool{false, false}, 0, false},
+		{"newer record invalidates an old base", 46, []cassiatally.SheetRecord{record(5, 4, true), record(7, 6, false), loser, record(7, 6, true)}, []bool{true, false, false, true}, 7, true},
+		{"no base after missed records", 40, []cassiatally.SheetRecord{record(1, 0, false), record(2, 1, false)}, []bool{false, false}, 0, false},
 		{"damaged sheet", 0, []cassiatally.SheetRecord{damaged, record(1, 0, false)}, []bool{false, true}, 1, true},
 	}
 	for _, c := range cases {
@@ -72,7 +72,7 @@
 	is.True(f.Adopt(record(2, 1, false)))
 	is.True(!f.Adopt(record(2, 1, false)))
 	is.True(!f.Adopt(record(1, 0, false)))
-	is.True(!f.Apply(1, record(3, 2, false))) // stands in the log before version 2
+	is.True(!f.Apply(1, record(3, 2, false))) // precedes version 2 in the log
 	is.True(f.Apply(2, record(2, 1, false)))
 	is.True(f.Apply(3, record(3, 2, false)))
 	current, _ := f.Current()
@@ -96,27 +96,27 @@
 	is.Equal(f.Next(), cassiatally.Offset(12))
 }
 
-// world is a log with its true fold. Publishers and writers of re-appended
-// records may act on any state that was true before.
+// world simulates a log, with a reference folder that reads every record.
+// Publishers and writers of re-appended records may act on any earlier state.
 type world struct {
 	records []cassiatally.SheetRecord
 	first   int
-	// truth has the record in force after each record.
-	truth []cassiatally.SheetRecord
-	full  sheetfolder.Folder
+	// inForceAfter contains the record in force after each record of the log.
+	inForceAfter []cassiatally.SheetRecord
+	reference    sheetfolder.Folder
 }
 
 func (w *world) add(r cassiatally.SheetRecord) {
-	w.full.Apply(cassiatally.Offset(len(w.records)), r)
-	current, _ := w.full.Current()
+	w.reference.Apply(cassiatally.Offset(len(w.records)), r)
+	current, _ := w.reference.Current()
 	w.records = append(w.records, r)
-	w.truth = append(w.truth, current)
+	w.inForceAfter = append(w.inForceAfter, current)
 }
 
 func (w *world) publish(read int) {
 	var base cassiatally.Version
 	if read >= 0 {
-		base = w.truth[read].Version
+		base = w.inForceAfter[read].Version
 	}
 	r := record(base+1, base, false)
 	r.Sheet = fmt.Append(r.Sheet, " at ", len(w.records))
@@ -125,15 +125,16 @@
 }
 
 func (w *world) reappend(read int) {
-	if r := w.truth[read]; r.Version > 0 {
+	if r := w.inForceAfter[read]; r.Version > 0 {
 		r.Reappend = true
 		w.add(r)
 	}
 }
 
-// drop ends the retention of one record. The record in force is re-appended first.
+// drop removes the oldest record of the log. The record in force is re-appended
+// first.
 func (w *world) drop() {
-	current, _ := w.full.Current()
+	current, _ := w.reference.Current()
 	if w.records[w.first].Version == current.Version {
 		w.reappend(len(w.records) - 1)
 	}
@@ -147,12 +148,13 @@
 	}
 }
 
-// Guards against readers that start late or miss records and then hold another
-// sheet than those that read the whole log.
+// Guards against readers that start late or miss records and then put another
+// sheet in force than a reader of the whole log.
 func TestReadersAgree(t *testing.T) {
-	// Fewer checks can miss the rare orders that need all rules of the folder.
+	// Fewer checks can miss the rare orders of records that need all rules of the
+	// folder.
 	is.New(t).NoErr(flag.Set("rapid.checks", "2000"))
-	// A fixed seed gives the same verdict in every run.
+	// A fixed seed gives the same result in every run.
 	is.New(t).NoErr(flag.Set("rapid.seed", "1"))
 	based := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -174,7 +176,7 @@
 				f := &readers[rapid.IntRange(0, len(readers)-1).Draw(t, "reader")]
 				w.read(f)
 				got, _ := f.Current()
-				want, _ := w.full.Current()
+				want, _ := w.reference.Current()
 				if f.HasBase() && got.Digest != want.Digest {
 					t.Fatalf("reader has %q, the whole log %q", got.Sheet, want.Sheet)
 				}
