--- a/cassiatally/publisher/publisher.go
+++ b/cassiatally/publisher/publisher.go
@@ -9,11 +9,11 @@
 //		show(conflict.Winner)
 //	}
 //
-// The log decides which of several publishers wins: the first record that is
-// based on the version in force. The publisher learns this only by reading back.
-// An append whose answer was lost is looked for before it is sent again. A copy
-// that arrives late does no harm, because it has the same content and the first
-// one wins.
+// The order of the log decides which of several publishers wins: the first record
+// that is based on the version in force. A publisher can detect this only by
+// reading the log back. When the response to an append was lost, it looks for the
+// record before it appends again. A late duplicate is harmless, because it has the
+// same content and the first one wins.
 //
 // When the context ends before the log was read back, the error is of
 // KindLogUnavailable. Its outcome is unknown if an append was sent, otherwise
@@ -34,48 +34,49 @@
 )
 
 const (
-	// firstPause is the pause after the first failure; each further one is twice
-	// as long, up to maxPause.
-	firstPause = 50 * time.Millisecond
-	maxPause   = time.Second
-	// readBackWait is the long poll for a record that was appended.
+	// initialBackoff is the backoff after the first failure. It doubles with each
+	// further one, up to maxBackoff.
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = time.Second
+	// readBackWait is the long-poll time of a read for the appended record.
 	readBackWait = time.Second
-	// maxName bounds the name of a publisher, in bytes.
-	maxName = 128
+	// maxNameBytes bounds the name of a publisher.
+	maxNameBytes = 128
 )
 
-// Publisher publishes sheets. Its fields are set before use.
+// Publisher publishes sheets. All its fields must be set before use.
 type Publisher struct {
 	Log   cassiatally.Log
 	Codec *protocol.Codec
-	// Name tells readers who published the sheet.
+	// Name identifies the publisher to readers of the sheet.
 	Name string
 }
 
-// Result is a sheet that was accepted.
+// Result is an accepted sheet and its place in the log.
 type Result struct {
 	Record cassiatally.SheetRecord
 	Offset cassiatally.Offset
-	// AlreadyAccepted is set when the log had the accepted record before this publication
-	// appended anything.
+	// AlreadyAccepted is set when the log contained the accepted record before this
+	// publication appended anything.
 	AlreadyAccepted bool
 }
 
-// Conflict tells that another sheet is in force instead.
+// Conflict is the error of a publication whose sheet was not accepted, because
+// another version is in force or the log has no base.
 type Conflict struct {
 	// Winner is the record in force. Its version is 0 when there is none.
 	Winner cassiatally.SheetRecord
 	cause  *cassiatally.Error
 }
 
-// Error returns the kind and what to do next.
+// Error returns the kind of the error and how to proceed.
 func (c *Conflict) Error() string { return c.cause.Error() }
 
 // Unwrap returns the Error of KindVersionConflict.
 func (c *Conflict) Unwrap() error { return c.cause }
 
-// Publish appends the sheet as the version after basedOn and returns when the
-// log shows whether it was accepted.
+// Publish appends the sheet as the version after basedOn. It returns when the log
+// was read back far enough to determine whether it was accepted.
 func (p *Publisher) Publish(ctx context.Context, basedOn cassiatally.Version, s sheet.Sheet) (Result, error) {
 	record := cassiatally.SheetRecord{
 		Version:   basedOn + 1,
@@ -89,18 +90,18 @@
 		return Result{}, err
 	}
 	a := attempt{
-		log:    p.Log,
-		reader: sheetreader.New(p.Log, p.Codec),
-		record: record,
-		frame:  frame,
-		pause:  firstPause,
+		log:     p.Log,
+		reader:  sheetreader.New(p.Log, p.Codec),
+		record:  record,
+		frame:   frame,
+		backoff: initialBackoff,
 	}
 	return a.run(ctx)
 }
 
 func (p *Publisher) encode(r cassiatally.SheetRecord) ([]byte, error) {
-	if p.Name == "" || len(p.Name) > maxName {
-		return nil, cassiatally.NewError(cassiatally.KindUsage, "the name of the publisher must have 1 to %d bytes", maxName)
+	if p.Name == "" || len(p.Name) > maxNameBytes {
+		return nil, cassiatally.NewError(cassiatally.KindUsage, "the name of the publisher must have 1 to %d bytes", maxNameBytes)
 	}
 	if len(r.Sheet) > sheet.MaxBytes {
 		return nil, cassiatally.NewError(cassiatally.KindTooLarge, "the sheet has %d bytes; at most %d are allowed", len(r.Sheet), sheet.MaxBytes)
@@ -109,57 +110,60 @@
 	return frame, errors.Wrap(err, "encode the sheet")
 }
 
-// attempt is one publication.
+// attempt is the state of one publication.
 type attempt struct {
-	log    cassiatally.Log
-	reader *sheetreader.Reader
-	record cassiatally.SheetRecord
-	frame  []byte
-	pause  time.Duration
+	log     cassiatally.Log
+	reader  *sheetreader.Reader
+	record  cassiatally.SheetRecord
+	frame   []byte
+	backoff time.Duration
 
 	sent bool
-	// won is the place of the own record once it is read as accepted.
-	won *cassiatally.Offset
+	// acceptedAt is the offset of the own record once it was read as accepted.
+	acceptedAt *cassiatally.Offset
 }
 
 func (a *attempt) run(ctx context.Context) (Result, error) {
-	if err := a.reader.ReadToEnd(ctx, a.note); err != nil {
-		return Result{}, a.unresolved(err)
+	if err := a.reader.ReadToEnd(ctx, a.recordEntry); err != nil {
+		return Result{}, a.unavailableError(err)
 	}
 	for !a.decided() {
 		if err := a.append(ctx); err != nil {
 			return Result{}, err
 		}
 	}
-	if a.won == nil && a.sent && !a.reader.Folder.HasBase() {
-		return Result{}, a.unresolved(errors.New("the log dropped records before they were read"))
+	if a.acceptedAt == nil && a.sent && !a.reader.Folder.HasBase() {
+		return Result{}, a.unavailableError(errors.New("the log dropped records before they were read"))
 	}
-	if a.won == nil {
-		return Result{}, a.conflict()
+	if a.acceptedAt == nil {
+		return Result{}, a.conflictError()
 	}
-	return Result{Record: a.record, Offset: *a.won, AlreadyAccepted: !a.sent}, nil
+	return Result{Record: a.record, Offset: *a.acceptedAt, AlreadyAccepted: !a.sent}, nil
 }
 
-func (a *attempt) note(e sheetreader.Entry) {
-	if e.Accepted && a.own(e.Record) {
-		a.won = &e.Offset
+func (a *attempt) recordEntry(e sheetreader.Entry) {
+	if e.Accepted && a.isOwn(e.Record) {
+		a.acceptedAt = &e.Offset
 	}
 }
 
-func (a *attempt) own(r cassiatally.SheetRecord) bool {
+// isOwn reports whether a record, possibly of an earlier run, is the one that this
+// publication appends.
+func (a *attempt) isOwn(r cassiatally.SheetRecord) bool {
 	return r.Version == a.record.Version && r.BasedOn == a.record.BasedOn &&
 		r.Publisher == a.record.Publisher && r.Digest == a.record.Digest
 }
 
-// decided reports whether what was read tells the end: the own record was
-// accepted, or another version than basedOn is in force.
+// decided reports whether the records read determine the result: the own record
+// was accepted, it can no longer be because another version than basedOn is in
+// force, or the log has no base.
 func (a *attempt) decided() bool {
 	current, _ := a.reader.Folder.Current()
-	return a.won != nil || !a.reader.Folder.HasBase() || current.Version != a.record.BasedOn
+	return a.acceptedAt != nil || !a.reader.Folder.HasBase() || current.Version != a.record.BasedOn
 }
 
-// append sends the record once and reads back. It returns without an error when
-// the log was read up to its end after the append.
+// append sends the record once and reads back. It returns nil when the log was
+// read past the record, or to its end when the response was lost.
 func (a *attempt) append(ctx context.Context) error {
 	a.sent = true
 	offset, err := a.log.Append(ctx, sheetreader.Stream, a.frame)
@@ -170,16 +174,17 @@
 	case cassiatally.KindTooLarge, cassiatally.KindBadRequest:
 		return errors.Wrap(err, "append the sheet")
 	}
-	return a.resolve(ctx, err)
+	return a.readToEnd(ctx, err)
 }
 
-// resolve reads the log to its end after an append whose answer is not known.
-func (a *attempt) resolve(ctx context.Context, cause error) error {
+// readToEnd reads the log to its end, with retries until the context ends, after
+// an append whose response was lost.
+func (a *attempt) readToEnd(ctx context.Context, cause error) error {
 	for {
 		if err := a.sleep(ctx); err != nil {
-			return a.unresolved(cause)
+			return a.unavailableError(cause)
 		}
-		err := a.reader.ReadToEnd(ctx, a.note)
+		err := a.reader.ReadToEnd(ctx, a.recordEntry)
 		if err == nil {
 			return nil
 		}
@@ -189,22 +194,23 @@
 
 func (a *attempt) readPast(ctx context.Context, offset cassiatally.Offset) error {
 	for a.reader.Folder.Next() <= offset {
-		n, err := a.reader.Read(ctx, readBackWait, a.note)
+		n, err := a.reader.Read(ctx, readBackWait, a.recordEntry)
 		if err == nil && n > 0 {
 			continue
 		}
 		if pauseErr := a.sleep(ctx); pauseErr != nil {
-			return a.unresolved(errors.CombineErrors(err, pauseErr))
+			return a.unavailableError(errors.CombineErrors(err, pauseErr))
 		}
 	}
 	return nil
 }
 
-// sleep waits for the next try. It returns an error when the context ends.
+// sleep waits for the backoff and doubles it. It returns an error when the context
+// ends.
 func (a *attempt) sleep(ctx context.Context) error {
-	timer := time.NewTimer(a.pause)
+	timer := time.NewTimer(a.backoff)
 	defer timer.Stop()
-	a.pause = min(2*a.pause, maxPause)
+	a.backoff = min(2*a.backoff, maxBackoff)
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -213,7 +219,7 @@
 	}
 }
 
-func (a *attempt) unresolved(cause error) error {
+func (a *attempt) unavailableError(cause error) error {
 	e := cassiatally.NewError(cassiatally.KindLogUnavailable,
 		"nothing was published (%v); publish again when the log service answers", cause)
 	e.Outcome = cassiatally.OutcomeNotRun
@@ -224,7 +230,7 @@
 	return e
 }
 
-func (a *attempt) conflict() error {
+func (a *attempt) conflictError() error {
 	current, ok := a.reader.Folder.Current()
 	detail := fmt.Sprintf("the sheet is based on version %d, but version %d by %s is in force; compare the sheets and publish based on version %d",
 		a.record.BasedOn, current.Version, current.Publisher, current.Version)
--- a/cassiatally/publisher/publisher_test.go
+++ b/cassiatally/publisher/publisher_test.go
@@ -14,7 +14,7 @@
 	"github.com/cassiatally/cassiatally/cassiatally/sheet"
 )
 
-// fakeLog keeps the stream in memory. Each fault is used for one append.
+// fakeLog keeps the stream in memory. Each fault applies to one append.
 type fakeLog struct {
 	first   cassiatally.Offset
 	records [][]byte
@@ -26,9 +26,9 @@
 }
 
 type fault struct {
-	// before is appended by another publisher first.
+	// before is a record of another publisher that is appended first.
 	before []byte
-	// dropped keeps the record out of the log, and lost fails the answer.
+	// dropped keeps the record out of the log; lost loses the response.
 	dropped, lost bool
 }
 
@@ -61,7 +61,7 @@
 		return cassiatally.Batch{}, errDown
 	}
 	b := cassiatally.Batch{First: f.first, Next: max(from, f.first)}
-	// Two records a batch, so that a reader has to go on reading.
+	// A batch has at most two records, so that a reader needs several reads.
 	for len(b.Records) < 2 && int(b.Next-f.first) < len(f.records) {
 		b.Records = append(b.Records, cassiatally.LogRecord{Offset: b.Next, Data: f.records[b.Next-f.first]})
 		b.Next++
@@ -83,8 +83,9 @@
 	return data
 }
 
-// Guards against a publication that is reported as won when it lost, as lost
-// when it won, or that is guessed when the answer of the log was lost.
+// Guards against a publication that is reported as accepted when another won, as
+// a conflict when it was accepted, or as either without a read when the response
+// to the append was lost.
 func TestPublish(t *testing.T) {
 	own := sheetOf("own")
 	rival := frame(t, 2, "rival", sheetOf("rival"), false)
@@ -101,13 +102,13 @@
 	}{
 		{"accepted", fakeLog{records: [][]byte{base}}, cassiatally.KindNone, 0, "", 1, 1},
 		{"accepted after other records", fakeLog{records: [][]byte{base, []byte("junk"), base, frame(t, 1, "base", sheetOf("base"), true)}}, cassiatally.KindNone, 0, "", 4, 1},
-		{"accepted after a re-append of a lost start", fakeLog{first: 70, records: [][]byte{base, frame(t, 1, "base", sheetOf("base"), true)}}, cassiatally.KindNone, 0, "", 72, 1},
+		{"accepted after a re-append in a truncated log", fakeLog{first: 70, records: [][]byte{base, frame(t, 1, "base", sheetOf("base"), true)}}, cassiatally.KindNone, 0, "", 72, 1},
 		{"based on an older version", fakeLog{records: [][]byte{base, rival}}, cassiatally.KindVersionConflict, cassiatally.OutcomeNotRun, "rival", 0, 0},
-		{"based on a version to come", fakeLog{}, cassiatally.KindVersionConflict, cassiatally.OutcomeNotRun, "", 0, 0},
+		{"based on a future version", fakeLog{}, cassiatally.KindVersionConflict, cassiatally.OutcomeNotRun, "", 0, 0},
 		{"race lost", fakeLog{records: [][]byte{base}, faults: []fault{{before: rival}}}, cassiatally.KindVersionConflict, cassiatally.OutcomeNotRun, "rival", 0, 1},
-		{"race lost and answer lost", fakeLog{records: [][]byte{base}, faults: []fault{{before: rival, lost: true}}}, cassiatally.KindVersionConflict, cassiatally.OutcomeNotRun, "rival", 0, 1},
-		{"answer lost after the write", fakeLog{records: [][]byte{base}, faults: []fault{{lost: true}}}, cassiatally.KindNone, 0, "", 1, 1},
-		{"answer lost and reads fail for a while", fakeLog{records: [][]byte{base}, faults: []fault{{lost: true}}, readErrors: 2}, cassiatally.KindNone, 0, "", 1, 1},
+		{"race lost and response lost", fakeLog{records: [][]byte{base}, faults: []fault{{before: rival, lost: true}}}, cassiatally.KindVersionConflict, cassiatally.OutcomeNotRun, "rival", 0, 1},
+		{"response lost after the write", fakeLog{records: [][]byte{base}, faults: []fault{{lost: true}}}, cassiatally.KindNone, 0, "", 1, 1},
+		{"response lost and reads fail for a while", fakeLog{records: [][]byte{base}, faults: []fault{{lost: true}}, readErrors: 2}, cassiatally.KindNone, 0, "", 1, 1},
 		{"request lost", fakeLog{records: [][]byte{base}, faults: []fault{{lost: true, dropped: true}}}, cassiatally.KindNone, 0, "", 1, 2},
 		{"reads fail after the append", fakeLog{records: [][]byte{base}, readErrors: 2}, cassiatally.KindNone, 0, "", 1, 1},
 		{"accepted in an earlier run", fakeLog{records: [][]byte{base, mine}}, cassiatally.KindNone, 0, "", 1, 0},
@@ -144,7 +145,8 @@
 	}
 }
 
-// Guards against records without a publisher, which cannot be told apart.
+// Guards against records without a publisher name: equal sheets of two publishers
+// could not be distinguished.
 func TestNameIsRequired(t *testing.T) {
 	is := is.New(t)
 	codec, err := protocol.New()
