--- a/cassiatally/sheetreader/reader.go
+++ b/cassiatally/sheetreader/reader.go
@@ -1,4 +1,4 @@
-// Package sheetreader reads the stream sheet of the log service and tells for
+// Package sheetreader reads the stream sheet of the log service and determines for
 // each record whether it was accepted.
 //
 // # Usage
@@ -7,8 +7,8 @@
 //	err := r.ReadToEnd(ctx, func(e sheetreader.Entry) { print(e) })
 //	current, ok := r.Folder.Current()
 //
-// A record that cannot be decoded is passed on as an entry without a record. It
-// takes its place in the log and changes nothing.
+// A record that cannot be decoded is passed on as an entry that is not Valid. It
+// counts as read and has no effect on the version in force.
 package sheetreader
 
 import (
@@ -25,7 +25,7 @@
 // Stream is the stream of the log service that holds the sheets.
 const Stream cassiatally.Stream = "sheet"
 
-// Entry is one record of the stream.
+// Entry is one record of the stream, which the log drops after Expires.
 type Entry struct {
 	Offset  cassiatally.Offset
 	Expires time.Duration
@@ -37,18 +37,18 @@
 
 // Reader reads the stream from its start. It is not safe for concurrent use.
 type Reader struct {
-	// Folder has what was read so far.
+	// Folder is the state after the records that were read so far.
 	Folder sheetfolder.Folder
 
 	log   cassiatally.Log
 	codec *protocol.Codec
 }
 
-// New returns a reader that has read nothing.
+// New returns a reader at the start of the stream.
 func New(l cassiatally.Log, c *protocol.Codec) *Reader { return &Reader{log: l, codec: c} }
 
-// Read passes on the next records and waits up to wait for the first. It returns
-// the number of records read.
+// Read calls each for the next records and returns their number. It waits up to
+// wait for the first record.
 func (r *Reader) Read(ctx context.Context, wait time.Duration, each func(Entry)) (int, error) {
 	b, err := r.log.Read(ctx, Stream, r.Folder.Next(), wait)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return len(b.Records), nil
 }
 
-// ReadToEnd passes on all records that the log has now.
+// ReadToEnd calls each for all remaining records that the log has now.
 func (r *Reader) ReadToEnd(ctx context.Context, each func(Entry)) error {
 	for {
 		n, err := r.Read(ctx, 0, each)
