--- a/cassiatally/logclient/client.go
+++ b/cassiatally/logclient/client.go
@@ -8,10 +8,11 @@
 //	offset, err := c.Append(ctx, "sheet", record)
 //	batch, err := c.Read(ctx, "sheet", 0, 0)
 //
-// The client never repeats an append, because an append whose answer was lost
-// may have taken effect. Errors are of KindLogUnavailable when the service did
-// not answer as agreed, KindTooLarge for records that the service cannot take,
-// and KindBadRequest for requests that it refuses.
+// The client never retries an append, because an append whose response was lost
+// may have taken effect. Errors are of KindLogUnavailable when the service is
+// unreachable or its response violates the interface, KindTooLarge for records
+// that the service does not accept, and KindBadRequest for requests that it
+// refuses.
 package logclient
 
 import (
@@ -32,28 +33,30 @@
 )
 
 const (
-	// DefaultTimeout bounds a request when Client.Timeout is not set. The wait of
-	// a long poll comes on top.
+	// DefaultTimeout bounds a request when Client.Timeout is not set. The wait of a
+	// long poll is added to it.
 	DefaultTimeout = 5 * time.Second
-	// MaxRecord bounds a record, in bytes.
-	MaxRecord = 1 << 20
+	// MaxRecordBytes bounds a record.
+	MaxRecordBytes = 1 << 20
 
-	// maxRecords bounds the records that one answer may have.
+	// maxRecords is the number of records that a read asks for.
 	maxRecords = 100
-	// minRecords keeps progress possible when single records fill an answer.
+	// minRecords is what a read asks for at the least, when single records fill a
+	// response.
 	minRecords = 1
-	// maxAnswer bounds an answer: four records of MaxRecord in base64.
-	maxAnswer = 6 << 20
-	// maxDetail bounds what an error quotes from an answer, in bytes.
-	maxDetail = 256
+	// maxResponseBytes bounds a response: four records of MaxRecordBytes in base64.
+	maxResponseBytes = 6 << 20
+	// maxExcerpt bounds what an error quotes from a response, in bytes.
+	maxExcerpt = 256
 )
 
-// Client sends requests to the log service. Its fields are set before use, and
-// it is safe for concurrent use.
+// Client sends requests to the log service. Its fields must be set before use; it
+// is then safe for concurrent use.
 type Client struct {
 	// Address is the host and port of the log service.
 	Address cassiatally.Address
-	// Timeout bounds a request.
+	// Timeout bounds a request, without the wait of a long poll. The default is
+	// DefaultTimeout.
 	Timeout time.Duration
 
 	once   sync.Once
@@ -62,40 +65,41 @@
 
 var _ cassiatally.Log = (*Client)(nil)
 
-type appended struct {
+type appendResponse struct {
 	Offset *cassiatally.Offset `json:"offset"`
 }
 
-type batch struct {
+type readBatch struct {
 	First   cassiatally.Offset `json:"first"`
 	Next    cassiatally.Offset `json:"next"`
-	Records []record           `json:"records"`
+	Records []batchRecord      `json:"records"`
 }
 
-type record struct {
+type batchRecord struct {
 	Offset  cassiatally.Offset `json:"offset"`
 	Expires string             `json:"expires"`
 	Data    []byte             `json:"data"`
 }
 
-// Append returns the offset of the record. After an error the record may or may
-// not have been written.
+// Append writes a record and returns its offset. After an error the record may or
+// may not have been written.
 func (c *Client) Append(ctx context.Context, s cassiatally.Stream, data []byte) (cassiatally.Offset, error) {
-	if len(data) > MaxRecord {
-		return 0, cassiatally.NewError(cassiatally.KindTooLarge, "the record has %d bytes; the log takes at most %d", len(data), MaxRecord)
+	if len(data) > MaxRecordBytes {
+		return 0, cassiatally.NewError(cassiatally.KindTooLarge, "the record has %d bytes; the log takes at most %d", len(data), MaxRecordBytes)
 	}
-	body, err := c.do(ctx, http.MethodPost, c.records(s, nil), data, c.timeout())
+	body, err := c.do(ctx, http.MethodPost, c.recordsURL(s, nil), data, c.timeout())
 	if err != nil {
 		return 0, errors.Wrapf(err, "append to stream %s", s)
 	}
-	var a appended
+	var a appendResponse
 	if err := json.Unmarshal(body, &a); err != nil || a.Offset == nil {
 		return 0, unavailable("the answer to an append to stream %s has no offset", s)
 	}
 	return *a.Offset, nil
 }
 
-// Read returns records from the offset on and waits up to wait for the first.
+// Read returns records from the offset on and waits up to wait for the first one.
+// When the response is too large, it asks for fewer records.
 func (c *Client) Read(ctx context.Context, s cassiatally.Stream, from cassiatally.Offset, wait time.Duration) (cassiatally.Batch, error) {
 	count := maxRecords
 	for {
@@ -104,8 +108,8 @@
 			"wait": {wait.String()},
 			"max":  {strconv.Itoa(count)},
 		}
-		body, err := c.do(ctx, http.MethodGet, c.records(s, query), nil, c.timeout()+wait)
-		if errors.Is(err, errAnswerTooLarge) && count > minRecords {
+		body, err := c.do(ctx, http.MethodGet, c.recordsURL(s, query), nil, c.timeout()+wait)
+		if errors.Is(err, errResponseTooLarge) && count > minRecords {
 			count = max(minRecords, count/10)
 			continue
 		}
@@ -117,7 +121,7 @@
 }
 
 func decodeBatch(body []byte, from cassiatally.Offset) (cassiatally.Batch, error) {
-	var wire batch
+	var wire readBatch
 	if err := json.Unmarshal(body, &wire); err != nil {
 		return cassiatally.Batch{}, unavailable("the answer to a read is malformed: %v", err)
 	}
@@ -137,10 +141,10 @@
 	return b, nil
 }
 
-// Close ends idle connections.
-func (c *Client) Close() { c.http().CloseIdleConnections() }
+// Close closes idle connections.
+func (c *Client) Close() { c.httpClient().CloseIdleConnections() }
 
-func (c *Client) records(s cassiatally.Stream, query url.Values) string {
+func (c *Client) recordsURL(s cassiatally.Stream, query url.Values) string {
 	u := url.URL{
 		Scheme:   "http",
 		Host:     string(c.Address),
@@ -150,10 +154,10 @@
 	return u.String()
 }
 
-func (c *Client) http() *http.Client {
+func (c *Client) httpClient() *http.Client {
 	c.once.Do(func() {
 		c.client = &http.Client{
-			// No proxy: addresses are IP numbers of the platform. The transport repeats
+			// No proxy: addresses are IP addresses of the platform. The transport retries
 			// a POST by itself only when nothing of it was written.
 			Transport: &http.Transport{},
 			// A redirected append would be sent twice.
@@ -180,23 +184,23 @@
 	if method == http.MethodPost {
 		req.Header.Set("Content-Type", "application/octet-stream")
 	}
-	resp, err := c.http().Do(req)
+	resp, err := c.httpClient().Do(req)
 	if err != nil {
 		return nil, unavailable("%v; check that the log service runs at %s", err, c.Address)
 	}
 	defer resp.Body.Close()
-	return readAnswer(resp)
+	return readResponse(resp)
 }
 
-var errAnswerTooLarge = errors.New("the answer is too large")
+var errResponseTooLarge = errors.New("the answer is too large")
 
-func readAnswer(resp *http.Response) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+func readResponse(resp *http.Response) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
-		return nil, unavailable("the answer broke off: %v", err)
+		return nil, unavailable("the response ended early: %v", err)
 	}
-	if len(body) > maxAnswer {
-		return nil, errors.Mark(unavailable("the answer exceeds %d bytes", maxAnswer), errAnswerTooLarge)
+	if len(body) > maxResponseBytes {
+		return nil, errors.Mark(unavailable("the answer exceeds %d bytes", maxResponseBytes), errResponseTooLarge)
 	}
 	switch resp.StatusCode {
 	case http.StatusOK, http.StatusCreated:
@@ -219,7 +223,7 @@
 	return "1"
 }
 
-func excerpt(body []byte) string { return strconv.Quote(string(body[:min(len(body), maxDetail)])) }
+func excerpt(body []byte) string { return strconv.Quote(string(body[:min(len(body), maxExcerpt)])) }
 
 func unavailable(format string, args ...any) *cassiatally.Error {
 	return cassiatally.NewError(cassiatally.KindLogUnavailable, format, args...)
--- a/cassiatally/logclient/client_test.go
+++ b/cassiatally/logclient/client_test.go
@@ -19,7 +19,7 @@
 	"github.com/cassiatally/cassiatally/cassiatally/logclient"
 )
 
-// fakeLog keeps one stream in memory and speaks the interface of the log service.
+// fakeLog serves the interface of the log service for one stream in memory.
 type fakeLog struct{ records [][]byte }
 
 func (f *fakeLog) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -52,15 +52,15 @@
 	return c
 }
 
-// Guards against records that are lost, reordered or damaged on the way, also
-// when they fill an answer beyond its bound.
+// Guards against records that are lost, reordered or damaged in transfer, also
+// when they exceed the bound of one response.
 func TestAppendAndRead(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	c := start(t, &fakeLog{})
 	const count = 5
 	for i := range count {
-		offset, err := c.Append(ctx, "sheet", bytes.Repeat([]byte{byte(i)}, logclient.MaxRecord))
+		offset, err := c.Append(ctx, "sheet", bytes.Repeat([]byte{byte(i)}, logclient.MaxRecordBytes))
 		is.NoErr(err)
 		is.Equal(offset, cassiatally.Offset(i))
 	}
@@ -72,17 +72,18 @@
 		for _, r := range b.Records {
 			is.Equal(r.Offset, next)
 			is.Equal(r.Expires, time.Hour)
-			is.Equal(r.Data, bytes.Repeat([]byte{byte(next)}, logclient.MaxRecord))
+			is.Equal(r.Data, bytes.Repeat([]byte{byte(next)}, logclient.MaxRecordBytes))
 			next++
 		}
 		is.Equal(b.Next, next)
 	}
-	_, err := c.Append(ctx, "sheet", make([]byte, logclient.MaxRecord+1))
+	_, err := c.Append(ctx, "sheet", make([]byte, logclient.MaxRecordBytes+1))
 	is.Equal(cassiatally.KindOf(err), cassiatally.KindTooLarge)
 }
 
-// Guards against answers that violate the interface and are taken as records,
-// and against failures that are reported as something else.
+// Guards against responses that violate the interface and are read as records,
+// against failures that are reported with a wrong kind, and against a retried
+// append.
 func TestErrors(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -98,7 +99,7 @@
 		{"no JSON", 200, "<html>", cassiatally.KindLogUnavailable},
 		{"offset out of order", 200, `{"offset": 1, "first": 0, "next": 2, "records": [{"offset": 9, "expires": "1h", "data": ""}]}`, cassiatally.KindLogUnavailable},
 		{"malformed duration", 200, `{"first": 0, "next": 2, "records": [{"offset": 0, "expires": "soon", "data": ""}]}`, cassiatally.KindLogUnavailable},
-		{"answer beyond the bound", 200, strings.Repeat(" ", 8<<20), cassiatally.KindLogUnavailable},
+		{"response beyond the bound", 200, strings.Repeat(" ", 8<<20), cassiatally.KindLogUnavailable},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -115,12 +116,12 @@
 			requests = 0
 			_, err = client.Append(context.Background(), "sheet", nil)
 			is.True(err != nil || strings.Contains(c.body, `"offset": 1,`))
-			is.Equal(requests, 1) // an append is never repeated
+			is.Equal(requests, 1) // an append is never retried
 		})
 	}
 }
 
-// Guards against a client that waits for ever for a silent log service.
+// Guards against a client that waits forever for a silent log service.
 func TestSilentService(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
