--- a/cassiatally/admitter/admitter.go
+++ b/cassiatally/admitter/admitter.go
@@ -1,12 +1,13 @@
 // Package admitter decides which calls a backend server runs, in which order,
 // and which are refused.
 //
-// An Admitter queues calls by rank. Free capacity goes first to ranks below
-// their kept share, and then by strict precedence of ranks. Within a rank the
-// lowest order value goes first, so that every service of a chain serves the
-// same call trees. Calls that cannot finish before their deadline are dropped
-// before work is spent on them. The queue is bounded by the time it takes to
-// serve it; when it is full, the entry that would be served last is refused.
+// An Admitter queues calls by rank. Free capacity goes first to ranks that use
+// less than their kept share, and then to the ranks in strict order of urgency.
+// Within a rank the call with the lowest order value starts first, so that every
+// service of a chain serves the same call trees. Calls that cannot finish before
+// their deadline are dropped before work is spent on them. The queue is bounded by
+// the time it takes to serve it; when it is full, the entry that would be served
+// last is refused.
 //
 // Every 100 ms the Admitter computes a level per rank: the fraction of order
 // values that it can serve. Entry nodes refuse the rest.
@@ -31,74 +32,79 @@
 
 const (
 	defaultTargetWait = 100 * time.Millisecond
-	defaultLeastQueue = 16
+	defaultMinQueue   = 16
 	// typicalWeight is the weight of one run in the typical run time.
 	typicalWeight = 0.1
-	// needSpreads is the number of mean deviations above the typical run time for
-	// which a call is given time to run.
-	needSpreads = 2
-	// typicalDecay lowers the typical run time in a window in which calls were
-	// dropped for it and none ended. Without it, one slow spell could have every
-	// call dropped and the run time never measured again.
+	// requiredDeviations is the number of mean deviations that are added to the
+	// typical run time to get the time that a call needs.
+	requiredDeviations = 2
+	// typicalDecay is the factor by which the typical run time falls in a window in
+	// which calls were dropped because of it and no run ended. Without it, one slow
+	// period could cause every call to be dropped, and the run time would never be
+	// measured again.
 	typicalDecay = 0.8
-	// needMargin: the part of the typical run time (1/20) that a call is given for its
-	// answer to travel, and for the error of the estimate. Where run times hardly vary,
-	// calls started with just the typical time left, and their answers came late.
+	// needMargin is the divisor of the typical run time that gives the margin for the
+	// transfer of the answer and for the error of the estimate (1/20 of the run time).
+	// Where run times hardly vary, calls started with just the typical time left, and
+	// their answers came late.
 	needMargin = 20
-	// tokenTime is the time for which a rank can save up its kept share. A longer
-	// time would let a rank that was idle hold up urgent work.
+	// tokenTime is the time for which a rank can save up its kept share. With a
+	// longer time, a rank that was idle could delay urgent work.
 	tokenTime = 250 * time.Millisecond
 	// urgentBound multiplies the bound of the queue for the most urgent rank of the
-	// sheet. A limit that is halved for a probe must not cost urgent calls that can
-	// wait; their deadlines still bound the queue.
+	// sheet. When the limiter halves the limit for a probe, urgent calls that can wait
+	// must not be refused; their deadlines still bound the queue.
 	urgentBound = 3
-	// onwardLead puts onward calls before all calls that come from callers, in the
-	// order of serving as well as in that of refusing. To refuse an onward call
-	// wastes what services further up have done for it; in an overload trial, one
-	// call in seven that passed the entry was wasted that way.
+	// onwardLead is subtracted from the key of an onward call, so that onward calls
+	// are served before, and refused after, all calls that come from callers.
+	// Refusing an onward call wastes the work that upstream services have done for
+	// it; in an overload trial, one call in seven that passed the entry was wasted
+	// that way.
 	onwardLead = 1e6
-	// rescueTime is the time before the last moment to start at which a call of a
-	// rank that fits goes first. In a busy spell, calls with a high order value
-	// would otherwise wait until their deadline passes.
+	// rescueTime is the time before its latest possible start at which a call goes
+	// first, if its rank fits the capacity. In a busy period, calls with a high order
+	// value would otherwise wait until their deadline passes.
 	rescueTime = 200 * time.Millisecond
-	// leastTokens and leastQuota let a rank with a small kept share survive the
-	// unevenness of its own arrivals.
-	leastTokens = 4
-	leastQuota  = 4
-	// stallRuns is the least number of runs in flight, and stallFactor the number of
-	// typical run times without an end, at which a backend server seems to be
-	// stalled. At exponential run times the chance of that is e^-16.
+	// minTokenCap and minQuota allow for uneven arrivals at a rank with a small kept
+	// share.
+	minTokenCap = 4
+	minQuota    = 4
+	// A backend server is taken to be stalled when at least stallRuns runs are in
+	// flight and none has ended for stallFactor typical run times. With exponential
+	// run times the probability of that by chance is e^-16.
 	stallRuns   = 8
 	stallFactor = 2
 )
 
 // Admitter is the queue in front of one backend server.
 type Admitter struct {
-	// TargetWait is the time worth of work that may queue; 0 means 100 ms.
+	// TargetWait bounds the queue by the time it takes to serve it; 0 means 100 ms.
 	TargetWait time.Duration
-	// Proportion, when above 0, takes the place of the kept shares of entries: each rank
-	// but the most urgent keeps this part of what it would get if capacity were divided
-	// by demand. Less urgent work is then served a little less, instead of not at all.
+	// Proportion, when above 0, replaces the kept shares of entries: each rank but the
+	// most urgent keeps this fraction of what it would get if capacity were divided in
+	// proportion to demand. Less urgent work is then served a little less, instead of
+	// not at all.
 	Proportion float64
-	// LeastQueue is the least bound of the queue in entries; 0 means 16.
-	LeastQueue int
+	// MinQueue is the smallest bound of the queue, in entries; 0 means 16.
+	MinQueue int
 
 	q     *queue
 	ranks [cassiatally.MaxRanks]rankState
 	meter meter
 	times runTimes
-	// progressed is when a run last ended by itself, or when the first of those in
-	// flight began.
-	progressed cassiatally.Instant
-	// starved is set when a call was dropped because of its deadline.
-	starved bool
+	// lastProgress is when a run last ended without being cut off, or when the first
+	// of the runs in flight began.
+	lastProgress cassiatally.Instant
+	// droppedExpired is set when a call of the window was dropped because of its
+	// deadline.
+	droppedExpired bool
 }
 
 type rankState struct {
 	share   cassiatally.Share
 	tokens  float64
 	tenants tenants
-	// probes pays for calls that start although their deadlines seem out of reach.
+	// probes admits a few calls whose deadlines cannot be met by the estimated run time.
 	probes probes
 }
 
@@ -112,21 +118,21 @@
 	if a.Proportion == 0 {
 		s.share = e.Share
 	}
-	key := float64(e.Order) * s.tenants.arrived(e.Tenant)
+	key := float64(e.Order) * s.tenants.recordArrival(e.Tenant)
 	if e.Onward {
 		key -= onwardLead
 	}
-	kind := a.hopeless(now, e, r, key)
-	probe := kind == cassiatally.KindExpired && s.probes.take(e.Deadline.Sub(now))
+	kind := a.unservableKind(now, e, r, key)
+	probe := kind == cassiatally.KindExpired && s.probes.tryStart(e.Deadline.Sub(now))
 	switch {
 	case probe:
 		kind = cassiatally.KindNone
 	case kind == cassiatally.KindExpired:
-		a.meter.late(r)
+		a.meter.recordLateArrival(r)
 	default:
-		// A call that is too late in any case asks for no capacity. Counted as demand
-		// it would have calls of less urgent ranks refused that can finish.
-		a.meter.arrived(r, e.Order)
+		// A call that is too late in any case needs no capacity. If it counted as
+		// demand, calls of less urgent ranks that can finish would be refused.
+		a.meter.recordArrival(r, e.Order)
 	}
 	if kind != cassiatally.KindNone {
 		return []cassiatally.Dropped{{ID: e.ID, Kind: kind}}
@@ -135,13 +141,13 @@
 		a.q.remove(old)
 	}
 	a.q.add(e, r, key).probe = probe
-	worst := a.worst()
-	if worst == nil {
-		a.meter.queue(now, a.q)
+	candidate := a.evictionCandidate()
+	if candidate == nil {
+		a.meter.recordQueue(now, a.q)
 		return nil
 	}
-	refused := a.q.remove(worst)
-	a.meter.queue(now, a.q)
+	refused := a.q.remove(candidate)
+	a.meter.recordQueue(now, a.q)
 	return []cassiatally.Dropped{{ID: refused.ID, Kind: cassiatally.KindOverloaded}}
 }
 
@@ -152,18 +158,18 @@
 	}
 }
 
-// hopeless returns the kind of error of an entry that cannot be served before
-// its deadline, and KindNone for any other.
-func (a *Admitter) hopeless(now cassiatally.Instant, e cassiatally.Entry, r cassiatally.Rank, key float64) cassiatally.ErrorKind {
+// unservableKind returns the error kind of an entry that cannot be served before
+// its deadline, and KindNone for any other entry.
+func (a *Admitter) unservableKind(now cassiatally.Instant, e cassiatally.Entry, r cassiatally.Rank, key float64) cassiatally.ErrorKind {
 	if e.Deadline == 0 {
 		return cassiatally.KindNone
 	}
-	left := e.Deadline.Sub(now) - a.need(now, e, r)
-	if left < 0 {
-		a.starved = true
+	slack := e.Deadline.Sub(now) - a.requiredTime(now, e, r)
+	if slack < 0 {
+		a.droppedExpired = true
 		return cassiatally.KindExpired
 	}
-	if left < a.predictedWait(r, key) {
+	if slack < a.predictedWait(r, key) {
 		return cassiatally.KindOverloaded
 	}
 	return cassiatally.KindNone
@@ -191,14 +197,14 @@
 	return time.Duration(wait * float64(time.Second))
 }
 
-// ahead estimates how many entries of the rank go before the key, as if the keys
-// in the queue were spread evenly.
+// ahead estimates how many entries of the rank are served before the key. It
+// assumes that the keys in the queue are evenly distributed.
 func (a *Admitter) ahead(r cassiatally.Rank, key float64) float64 {
 	n := a.q.rankLen(r)
 	if n == 0 {
 		return 0
 	}
-	low, high := a.q.first[r].top().key, a.q.last[r].top().key
+	low, high := a.q.byKey[r].top().key, a.q.byKeyDescending[r].top().key
 	if key <= low {
 		return 0
 	}
@@ -214,29 +220,28 @@
 	if target <= 0 {
 		target = defaultTargetWait
 	}
-	least := a.LeastQueue
+	least := a.MinQueue
 	if least <= 0 {
-		least = defaultLeastQueue
+		least = defaultMinQueue
 	}
 	return max(int(a.meter.capacity*target.Seconds()), least)
 }
 
-// worst returns the entry to refuse when the queue is too long, and nil when it
-// is not. That is the entry that would be served last: of the least urgent rank
-// that has more entries than its kept share of the queue, the one with the
-// highest key. Entries within a kept share come on top of the bound, so that they
-// take no room from urgent work. Rank 0 and onward calls may queue longer than the
-// others.
-func (a *Admitter) worst() *item {
+// evictionCandidate returns the entry to refuse when the queue is too long, and nil
+// when it is not. That is the entry that would be served last: the one with the
+// highest key, of the least urgent rank that has more entries than its kept share of
+// the queue. Entries within a kept share don't count towards the bound, so that they
+// take no room from urgent work. Rank 0 and onward calls have a larger bound.
+func (a *Admitter) evictionCandidate() *item {
 	bound := a.bound()
 	room := bound + a.meter.free()
 	var last *item
-	for i := range a.q.last {
+	for i := range a.q.byKeyDescending {
 		r := cassiatally.Rank(i)
 		n, kept := a.q.rankLen(r), a.quota(r, bound)
 		room -= max(n-kept, 0)
 		if n > kept {
-			last = a.q.last[r].top()
+			last = a.q.byKeyDescending[r].top()
 		}
 	}
 	if last != nil && (last.rank == 0 || last.entry.Onward) {
@@ -259,36 +264,36 @@
 	a.prepare(now)
 	dropped = a.dropDue(now)
 	for len(start) < free {
-		it := a.choose(now)
+		it := a.nextItem(now)
 		if it == nil {
 			break
 		}
-		late, r := a.late(now, it), it.rank
+		late, r := a.tooLate(now, it), it.rank
 		e := a.q.remove(it)
 		if late {
-			a.starved = true
+			a.droppedExpired = true
 			dropped = append(dropped, cassiatally.Dropped{ID: e.ID, Kind: cassiatally.KindExpired})
 			continue
 		}
 		a.ranks[r].spend()
 		start = append(start, e.ID)
 	}
-	a.meter.queue(now, a.q)
+	a.meter.recordQueue(now, a.q)
 	if a.meter.inFlight == 0 {
-		a.progressed = now
+		a.lastProgress = now
 	}
-	a.meter.started(now, len(start))
+	a.meter.recordStarts(now, len(start))
 	return start, dropped
 }
 
 func (a *Admitter) dropDue(now cassiatally.Instant) (dropped []cassiatally.Dropped) {
-	for r := range a.q.due {
+	for r := range a.q.byDeadline {
 		for {
-			it := a.q.due[r].top()
-			if it == nil || !a.late(now, it) {
+			it := a.q.byDeadline[r].top()
+			if it == nil || !a.tooLate(now, it) {
 				break
 			}
-			a.starved = true
+			a.droppedExpired = true
 			e := a.q.remove(it)
 			dropped = append(dropped, cassiatally.Dropped{ID: e.ID, Kind: cassiatally.KindExpired})
 		}
@@ -296,56 +301,57 @@
 	return dropped
 }
 
-// late reports whether an entry has less time left than it needs. A probe needs
-// none.
-func (a *Admitter) late(now cassiatally.Instant, it *item) bool {
+// tooLate reports whether less time is left until the entry's deadline than its run
+// needs. A probe is too late only after its deadline.
+func (a *Admitter) tooLate(now cassiatally.Instant, it *item) bool {
 	if it.entry.Deadline == 0 {
 		return false
 	}
 	need := time.Duration(0)
 	if !it.probe {
-		need = a.need(now, it.entry, it.rank)
+		need = a.requiredTime(now, it.entry, it.rank)
 	}
 	return it.entry.Deadline.Sub(now) < need
 }
 
-// spend takes a token for a call that starts. A call that starts by precedence
-// costs the rank nothing that it does not have.
+// spend takes a token for a call that starts. A call that starts by the order of
+// urgency, without a token, leaves no debt.
 func (s *rankState) spend() { s.tokens = max(s.tokens-1, 0) }
 
-// covers reports whether the kept share of the rank pays for a call. It never lends:
-// with a debt of up to a second, onward calls used up the share as a flood began, and
-// calls of callers then waited behind the debt until they were too late.
-func (s *rankState) covers() bool { return s.share > 0 && s.tokens >= 1 }
+// hasToken reports whether the kept share of the rank pays for a call. Tokens never
+// go below zero: with a debt of up to a second, onward calls used up the share at the
+// start of a flood, and calls of callers then waited until the debt was paid and were
+// too late.
+func (s *rankState) hasToken() bool { return s.share > 0 && s.tokens >= 1 }
 
-// choose returns the entry to start next: of the most urgent rank whose kept share
-// pays for it, else of the most urgent rank.
-func (a *Admitter) choose(now cassiatally.Instant) *item {
+// nextItem returns the entry to start next: from the most urgent rank that has a
+// token, or else from the most urgent rank.
+func (a *Admitter) nextItem(now cassiatally.Instant) *item {
 	var first *item
-	for i := range a.q.first {
+	for i := range a.q.byKey {
 		r := cassiatally.Rank(i)
 		if a.q.rankLen(r) == 0 {
 			continue
 		}
-		if a.ranks[r].covers() {
-			return a.firstOf(now, r)
+		if a.ranks[r].hasToken() {
+			return a.nextOfRank(now, r)
 		}
 		if first == nil {
-			first = a.firstOf(now, r)
+			first = a.nextOfRank(now, r)
 		}
 	}
 	return first
 }
 
-// firstOf returns the entry of the rank with the lowest key. While no call of the
-// rank is refused at the entry, an entry that would soon be too late goes first:
-// the rank fits, so none of its calls has to be lost.
-func (a *Admitter) firstOf(now cassiatally.Instant, r cassiatally.Rank) *item {
-	due := a.q.due[r].top()
-	if due != nil && a.meter.levels[r] >= 1 && due.entry.Deadline.Sub(now) < a.need(now, due.entry, r)+rescueTime {
+// nextOfRank returns the entry of the rank with the lowest key. While the level of
+// the rank is 1, an entry that would soon be too late goes first: the rank fits the
+// capacity, so none of its calls has to be lost.
+func (a *Admitter) nextOfRank(now cassiatally.Instant, r cassiatally.Rank) *item {
+	due := a.q.byDeadline[r].top()
+	if due != nil && a.meter.levels[r] >= 1 && due.entry.Deadline.Sub(now) < a.requiredTime(now, due.entry, r)+rescueTime {
 		return due
 	}
-	return a.q.first[r].top()
+	return a.q.byKey[r].top()
 }
 
 // Remove takes a cancelled entry out of the queue.
@@ -361,42 +367,42 @@
 	return true
 }
 
-// stall returns the run time that a backend server seems to have from which nothing
-// returns: as much again as has passed. It is 0 while runs end.
-func (a *Admitter) stall(now cassiatally.Instant) time.Duration {
-	passed := now.Sub(a.progressed)
-	if a.meter.inFlight < stallRuns || passed < stallFactor*a.times.all {
+// stalledRunTime estimates the run time at a stalled backend server as twice the time
+// since the last run ended. It is 0 while the backend server isn't stalled.
+func (a *Admitter) stalledRunTime(now cassiatally.Instant) time.Duration {
+	passed := now.Sub(a.lastProgress)
+	if a.meter.inFlight < stallRuns || passed < stallFactor*a.times.overall {
 		return 0
 	}
 	return 2 * passed
 }
 
-// Done records the end of a run. Each end fills the kept shares, so a share is a
-// share of what the backend server completes, whatever its speed.
+// Done records the end of a run. Each end adds tokens to the kept shares, so a share
+// is a fraction of what the backend server completes, whatever its speed.
 func (a *Admitter) Done(now cassiatally.Instant, r cassiatally.Rank, busy time.Duration) {
 	r = min(r, cassiatally.MaxRanks-1)
-	a.times.ended(r, busy, a.ranks[r].probes.taken)
+	a.times.recordEnd(r, busy, a.ranks[r].probes.started)
 	a.ranks[r].probes = probes{}
-	a.progressed = now
-	a.ended(now)
+	a.lastProgress = now
+	a.runEnded(now)
 }
 
-// Cut records the end of a run that was broken off, so that it would have taken
-// longer.
+// Cut records the end of a run that was cut off before the backend server finished
+// it.
 func (a *Admitter) Cut(now cassiatally.Instant, r cassiatally.Rank, busy time.Duration) {
 	r = min(r, cassiatally.MaxRanks-1)
-	a.times.cut(r, busy)
-	a.ended(now)
+	a.times.recordCut(r, busy)
+	a.runEnded(now)
 }
 
-func (a *Admitter) ended(now cassiatally.Instant) {
+func (a *Admitter) runEnded(now cassiatally.Instant) {
 	a.prepare(now)
-	a.meter.ended(now)
+	a.meter.recordEnd(now)
 	for i := range a.ranks {
 		s := &a.ranks[i]
 		if s.share > 0 {
-			most := max(float64(s.share)*a.meter.capacity*tokenTime.Seconds(), leastTokens)
-			s.tokens = min(s.tokens+float64(s.share), most)
+			maxTokens := max(float64(s.share)*a.meter.capacity*tokenTime.Seconds(), minTokenCap)
+			s.tokens = min(s.tokens+float64(s.share), maxTokens)
 		}
 	}
 }
@@ -404,28 +410,29 @@
 // Tick closes the window and updates the levels.
 func (a *Admitter) Tick(now cassiatally.Instant, limit cassiatally.Concurrency) {
 	a.prepare(now)
-	if !a.meter.close(now, limit, a.times.all) {
+	if !a.meter.closeWindow(now, limit, a.times.overall) {
 		return
 	}
-	if a.starved && a.meter.idle() {
+	if a.droppedExpired && a.meter.idle() {
 		a.times.decay(typicalDecay)
 	}
-	a.starved = false
+	a.droppedExpired = false
 	for r := range a.ranks {
-		a.ranks[r].probes.close(float64(limit) * a.meter.window())
+		a.ranks[r].probes.closeWindow(float64(limit) * a.meter.lastWindowSeconds())
 	}
 	if a.Proportion > 0 {
-		a.divide()
+		a.setProportionalShares()
 	}
-	available := a.meter.update(a.shares(), a.bound())
+	available := a.meter.updateLevels(a.shares(), a.bound())
 	for r := range a.ranks {
-		a.ranks[r].tenants.divide(a.meter.window(), available[r])
+		a.ranks[r].tenants.closeWindow(a.meter.lastWindowSeconds(), available[r])
 	}
 }
 
-// divide sets the kept shares by the demand of each rank. The most urgent rank with
-// demand keeps all of its own, so that it goes before the kept shares of others.
-func (a *Admitter) divide() {
+// setProportionalShares sets the kept shares from the demand of each rank. The most
+// urgent rank with demand keeps its whole proportion, so that it goes before the kept
+// shares of the others.
+func (a *Admitter) setProportionalShares() {
 	demands := a.meter.demands()
 	total := 0.0
 	for _, d := range demands {
@@ -449,7 +456,7 @@
 }
 
 // Levels returns the level of each rank.
-func (a *Admitter) Levels() []cassiatally.Level { return a.meter.published() }
+func (a *Admitter) Levels() []cassiatally.Level { return a.meter.publishedLevels() }
 
 // Len returns the number of entries in the queue.
 func (a *Admitter) Len() int {
@@ -459,16 +466,16 @@
 	return a.q.len()
 }
 
-// need returns the time before its deadline by which a call has to start. Run
-// times vary, and a run that is cut off at its deadline has cost as much as one
-// that ends. Calls whose callers allow little time are given at least half of it
-// to wait.
-func (a *Admitter) need(now cassiatally.Instant, e cassiatally.Entry, r cassiatally.Rank) time.Duration {
+// requiredTime returns how long before its deadline a call has to start. It allows
+// for run times above the typical one, since a run that is cut off at its deadline
+// has cost as much as one that ends. A call with little time left may still wait for
+// half of it, unless the typical run time is longer than the other half.
+func (a *Admitter) requiredTime(now cassiatally.Instant, e cassiatally.Entry, r cassiatally.Rank) time.Duration {
 	if e.Deadline == 0 {
 		return 0
 	}
-	typical := max(a.times.typical(r), a.stall(now))
+	typical := max(a.times.typical(r), a.stalledRunTime(now))
 	typical += typical / needMargin
 	most := max(typical, e.Deadline.Sub(now)/2)
-	return min(typical+needSpreads*a.times.spread(r), most)
+	return min(typical+requiredDeviations*a.times.deviation(r), most)
 }
--- a/cassiatally/admitter/admitter_test.go
+++ b/cassiatally/admitter/admitter_test.go
@@ -43,7 +43,8 @@
 	{"slow", 40, 100 * time.Millisecond},
 }
 
-// flood is urgent demand that fits, and a flood of two other ranks.
+// flood offers urgent demand that fits, and more of two other ranks than fits. Factor
+// is the total demand in multiples of the capacity.
 func (b backend) flood(q cassiatally.Admitter, factor float64) *model {
 	const urgent = 0.6
 	c := b.capacity()
@@ -58,14 +59,17 @@
 	}
 }
 
-type verdict struct {
+// scores are the results of a flood, to be compared with the targets.
+type scores struct {
+	// goodput is the fraction of the capacity that was completed in time, and urgent
+	// the fraction of rank 0 that was not lost.
 	goodput, urgent float64
-	// shares has what each flow completed, divided by its share or its demand,
-	// whichever is less.
+	// shares has, for each flow, what it completed divided by its kept share or its
+	// demand, whichever is less.
 	shares []float64
 }
 
-func (b backend) judge(m *model, results []outcome) (v verdict) {
+func (b backend) score(m *model, results []outcome) (v scores) {
 	whole := b.capacity() * (m.duration - m.warmUp).Seconds()
 	for i, r := range results {
 		v.goodput += float64(r.inTime) / whole
@@ -78,15 +82,15 @@
 	return v
 }
 
-// Guards against goodput that collapses, urgent work that is shed, and kept
-// shares that are not kept while demand exceeds capacity.
+// Guards against goodput that collapses, urgent work that is shed, and ranks that get
+// less than their kept share while demand exceeds capacity.
 func TestFlood(t *testing.T) {
 	for _, b := range backends {
 		for _, factor := range []float64{1.5, 3, 6} {
 			t.Run(fmt.Sprintf("%s at %g times capacity", b.name, factor), func(t *testing.T) {
 				is := is.New(t)
 				m := b.flood(&admitter.Admitter{}, factor)
-				v := b.judge(m, m.run(seed))
+				v := b.score(m, m.run(seed))
 				is.True(v.goodput >= goodputTarget)
 				is.True(v.urgent >= urgentTarget)
 				is.True(slices.Min(v.shares) >= shareTarget)
@@ -95,15 +99,15 @@
 	}
 }
 
-// Guards against levels that swing between their bounds when entry nodes learn
-// them late: gossip brings a level once per second.
+// Guards against levels that oscillate between their bounds when entry nodes receive
+// them late: gossip delivers a level once per second.
 func TestFloodWithLateLevels(t *testing.T) {
 	for _, b := range backends {
 		t.Run(b.name, func(t *testing.T) {
 			is := is.New(t)
 			m := b.flood(&admitter.Admitter{}, 6)
 			m.lag = time.Second
-			v := b.judge(m, m.run(seed))
+			v := b.score(m, m.run(seed))
 			is.True(v.goodput >= goodputTarget)
 			is.True(v.urgent >= urgentTarget)
 			is.True(slices.Min(v.shares) >= shareTarget)
@@ -111,8 +115,8 @@
 	}
 }
 
-// Guards against an admitter and a limiter that meet the targets one by one but
-// not together, at a backend server that announces too many slots.
+// Guards against an admitter and a limiter that each meet the targets alone but not
+// together, at a backend server that announces too many slots.
 func TestFloodWithLimiter(t *testing.T) {
 	const announced = 3
 	for _, b := range backends {
@@ -122,7 +126,7 @@
 			l.Resize(0, cassiatally.Concurrency(announced*b.slots))
 			m := b.flood(&admitter.Admitter{}, 6)
 			m.limiter = l
-			v := b.judge(m, m.run(seed))
+			v := b.score(m, m.run(seed))
 			is.True(v.goodput >= goodputTarget)
 			is.True(v.urgent >= urgentTarget)
 			is.True(slices.Min(v.shares) >= shareTarget)
@@ -130,7 +134,7 @@
 	}
 }
 
-// Guards against goodput that does not return after a backend server was slow.
+// Guards against goodput that stays low after a backend server was slow.
 func TestSlowDownWithLimiter(t *testing.T) {
 	const from, to, slowFactor, base = 5 * time.Second, 10 * time.Second, 5, 0.8
 	for _, b := range backends {
@@ -155,21 +159,20 @@
 	}
 }
 
-// Shows that TestFlood can fail: the first-come queue misses the targets on the
-// same floods, and without a tight bound it completes nothing in time.
+// Shows that TestFlood can fail: a FIFO queue misses the targets on the same floods,
+// and without a tight bound it completes nothing in time.
 func TestFirstComeQueueMissesTheTargets(t *testing.T) {
 	is := is.New(t)
 	b := backends[0]
 	m := b.flood(&fifo.Queue{Capacity: 150}, 6)
-	is.True(b.judge(m, m.run(seed)).urgent < urgentTarget)
+	is.True(b.score(m, m.run(seed)).urgent < urgentTarget)
 	m = b.flood(&fifo.Queue{}, 6)
-	v := b.judge(m, m.run(seed))
+	v := b.score(m, m.run(seed))
 	is.True(v.goodput < goodputTarget)
 	is.True(slices.Min(v.shares) < shareTarget)
 }
 
-// Guards against levels that stay low after a surge, and against goodput that
-// does not return.
+// Guards against levels and goodput that stay low after a surge.
 func TestRecovers(t *testing.T) {
 	const from, to = 3 * time.Second, 6 * time.Second
 	const base = 0.8
@@ -187,9 +190,9 @@
 			}
 			m.run(seed)
 			later := m.levels[(to+recoveryTarget)/window:]
-			is.Equal(later[0], full())
-			// Arrivals by chance may exceed the capacity of a small backend server in
-			// a few later windows.
+			is.Equal(later[0], fullLevels())
+			// Random arrivals may exceed the capacity of a small backend server in a
+			// few later windows.
 			sum := 0.0
 			for _, l := range later {
 				sum += float64(slices.Min(l))
@@ -200,7 +203,7 @@
 	}
 }
 
-func full() []cassiatally.Level {
+func fullLevels() []cassiatally.Level {
 	levels := make([]cassiatally.Level, cassiatally.MaxRanks)
 	for i := range levels {
 		levels[i] = 1
@@ -208,9 +211,9 @@
 	return levels
 }
 
-// Guards against a single odd window, in which the backend server pauses or
-// calls arrive in a burst, that has most of a rank refused at the entry.
-func TestOddWindow(t *testing.T) {
+// Guards against refusing most calls of a rank at the entry after a single unusual
+// window, in which the backend server pauses or calls arrive in a burst.
+func TestSingleUnusualWindow(t *testing.T) {
 	const from, to = 3 * time.Second, 3*time.Second + window
 	b := backends[2]
 	c := b.capacity()
@@ -241,13 +244,13 @@
 			for _, l := range m.levels {
 				is.True(l[0] >= 1-mostLost)
 			}
-			is.Equal(m.levels[(to+recoveryTarget)/window], full())
+			is.Equal(m.levels[(to+recoveryTarget)/window], fullLevels())
 		})
 	}
 }
 
-// Guards against a slow spell in which every call is dropped as too late, so that
-// no run ends and the typical run time stays too high for good.
+// Guards against a typical run time that stays too high forever after a slow period
+// in which every call was dropped as too late, so that no run ended.
 func TestMeasuresAgainAfterSlowSpell(t *testing.T) {
 	const from, to = 3 * time.Second, 6 * time.Second
 	is := is.New(t)
@@ -263,7 +266,7 @@
 		flows: []flow{{rank: 0, rate: constant(0.8 * b.capacity())}},
 	}
 	m.run(seed)
-	// The last slow runs end two timeouts after the spell.
+	// The last slow runs end two timeouts after the slow period.
 	restored := to + 2*timeout + recoveryTarget
 	is.True(m.goodput(restored) >= goodputTarget*0.8*b.capacity())
 }
@@ -284,7 +287,7 @@
 			b := backends[2]
 			m := &model{
 				queue: c.queue, slots: b.slots, service: jittered(b.service), timeout: timeout,
-				warmUp: 2 * time.Second, duration: 10 * time.Second, deaf: true,
+				warmUp: 2 * time.Second, duration: 10 * time.Second, ignoreLevels: true,
 				flows: []flow{
 					{rank: 1, tenant: "modest", rate: constant(0.3 * b.capacity())},
 					{rank: 1, tenant: "greedy", rate: constant(3 * b.capacity())},
@@ -308,7 +311,8 @@
 	return out
 }
 
-// Guards against a wrong order of starts.
+// Guards against calls that start out of order: by rank, then by order value, then by
+// arrival.
 func TestNextOrder(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -335,10 +339,11 @@
 	}
 }
 
-// Guards against a full queue that refuses the newest entry instead of the worst.
-func TestFullQueueRefusesTheWorst(t *testing.T) {
+// Guards against a full queue that refuses the newest entry instead of the one that
+// would be served last.
+func TestFullQueueRefusesTheEntryServedLast(t *testing.T) {
 	is := is.New(t)
-	a := &admitter.Admitter{LeastQueue: 3}
+	a := &admitter.Admitter{MinQueue: 3}
 	for _, e := range []cassiatally.Entry{entry(1, 2, 0.2), entry(2, 2, 0.9), entry(3, 1, 0.9)} {
 		is.Equal(len(a.Offer(0, e)), 0)
 	}
@@ -377,16 +382,16 @@
 	is.Equal(offer(2, typical/2)[0].Kind, cassiatally.KindExpired)
 	is.Equal(len(offer(3, 150*time.Millisecond)), 0)
 	is.Equal(len(offer(4, time.Second)), 0)
-	is.Equal(offer(5, 250*time.Millisecond)[0].Kind, cassiatally.KindOverloaded) // two go first
+	is.Equal(offer(5, 250*time.Millisecond)[0].Kind, cassiatally.KindOverloaded) // two are served before it
 	now = now.Add(60 * time.Millisecond)
 	start, dropped := a.Next(now, 1)
 	is.Equal(seqs(start), []uint64{4})
 	is.Equal(dropped, []cassiatally.Dropped{{ID: entry(3, 0, 0).ID, Kind: cassiatally.KindExpired}})
 }
 
-// Guards against calls with a high order value that wait until they are too late
-// in a busy spell, although their rank fits.
-func TestSoonTooLateGoesFirst(t *testing.T) {
+// Guards against calls with a high order value that wait until they are too late in a
+// busy period, although their rank fits the capacity.
+func TestNearDeadlineGoesFirst(t *testing.T) {
 	is := is.New(t)
 	a := &admitter.Admitter{}
 	high, low := entry(1, 0, 0.9), entry(2, 0, 0.1)
@@ -398,11 +403,11 @@
 	is.Equal(seqs(start), []uint64{1})
 }
 
-// Guards against a cancelled call that is started, and against entries that are
-// lost when others leave the middle of the queue.
+// Guards against a cancelled call that is started, and against losing entries when
+// others are removed from the middle of the queue.
 func TestRemove(t *testing.T) {
 	is := is.New(t)
-	a := &admitter.Admitter{LeastQueue: 100}
+	a := &admitter.Admitter{MinQueue: 100}
 	rng := rand.New(rand.NewPCG(seed, seed))
 	want := 0
 	for i := range uint64(100) {
@@ -426,7 +431,7 @@
 func BenchmarkOfferNext(b *testing.B) {
 	for _, size := range []int{16, 4096} {
 		b.Run(fmt.Sprintf("%d entries", size), func(b *testing.B) {
-			a := &admitter.Admitter{LeastQueue: size}
+			a := &admitter.Admitter{MinQueue: size}
 			rng := rand.New(rand.NewPCG(seed, seed))
 			now, seq := cassiatally.Instant(0), uint64(0)
 			offer := func() {
--- a/cassiatally/admitter/fleet_test.go
+++ b/cassiatally/admitter/fleet_test.go
@@ -31,15 +31,15 @@
 	onward bool
 }
 
-// stage is a time with the load of each class, in calls per second.
+// stage is a period with a constant load of each class, in calls per second.
 type stage struct {
 	duration time.Duration
 	rates    []float64
 }
 
-// fleet is a narrow service with several endpoints behind entry nodes that learn
-// levels from answers and, late, from gossip. It steps from event to event in
-// virtual time. Requests meet the narrow service directly or through a wide one.
+// fleet simulates a narrow service with several endpoints behind entry nodes, which
+// receive levels with answers and, later, by gossip. Requests reach the narrow service
+// directly or through a wide one. It is a discrete event simulation.
 type fleet struct {
 	seed      uint64
 	endpoints int
@@ -57,22 +57,22 @@
 	nodes  []*entryNode
 	hosts  []*host
 	calls  map[cassiatally.CallID]*fleetCall
-	// ended has what became of each request.
-	ended []ending
+	// ended has the result of each request.
+	ended []endedRequest
 }
 
-// ending is what became of one request.
-type ending struct {
+// endedRequest is the result of one request.
+type endedRequest struct {
 	class   int
 	offered cassiatally.Instant
 	at      cassiatally.Instant
-	fate    fate
+	result  requestResult
 }
 
-type fate uint8
+type requestResult uint8
 
 const (
-	inTime fate = iota
+	inTime requestResult = iota
 	late
 	refusedAtEntry
 	refusedInQueue
@@ -81,8 +81,8 @@
 const (
 	linkTime = time.Millisecond
 	wideTime = 20 * time.Millisecond
-	// gossipTime and gossipAge are the period of gossip and the greatest age of
-	// what it tells.
+	// gossipTime and gossipAge are the period of gossip and the maximum age of the
+	// reports that it carries.
 	gossipTime = time.Second
 	gossipAge  = time.Second
 	queueTick  = 20 * time.Millisecond
@@ -97,8 +97,8 @@
 	id      cassiatally.NodeID
 	queue   *admitter.Admitter
 	running int
-	// told has past reports, for gossip.
-	told []report
+	// reports has past reports, for gossip.
+	reports []report
 }
 
 type report struct {
@@ -160,7 +160,7 @@
 		f.after(time.Duration(f.rng.Int64N(int64(gossipTime))), func() { f.gossip(n) })
 	}
 	for i := range f.classes {
-		f.after(f.pause(i), func() { f.arrive(i) })
+		f.after(f.interarrival(i), func() { f.arrive(i) })
 	}
 	for len(f.events) > 0 {
 		e := heap.Pop(&f.events).(event)
@@ -189,7 +189,7 @@
 	return d
 }
 
-// rate returns the load of a class at present.
+// rate returns the current load of a class.
 func (f *fleet) rate(i int) float64 {
 	left := f.now.Sub(0)
 	for _, s := range f.stages {
@@ -201,14 +201,14 @@
 	return 0
 }
 
-// pause returns the time to the next arrival of a class, of which each stage has
-// some.
-func (f *fleet) pause(i int) time.Duration {
+// interarrival returns the time to the next arrival of a class. The load of the class
+// must not be 0 in any stage.
+func (f *fleet) interarrival(i int) time.Duration {
 	return time.Duration(f.rng.ExpFloat64() / f.rate(i) * float64(time.Second))
 }
 
 func (f *fleet) arrive(i int) {
-	f.after(f.pause(i), func() { f.arrive(i) })
+	f.after(f.interarrival(i), func() { f.arrive(i) })
 	x := f.classes[i]
 	n := f.nodes[f.rng.IntN(len(f.nodes))]
 	c := &fleetCall{class: i, order: cassiatally.Order(f.rng.Float64()), offered: f.now, deadline: f.now.Add(x.timeout), entry: n, from: n}
@@ -217,7 +217,7 @@
 		first = wide
 	}
 	if ok, _ := n.loads.Admit(f.now, first, x.name, x.rank, c.order); !ok {
-		f.conclude(c, refusedAtEntry)
+		f.recordResult(c, refusedAtEntry)
 		return
 	}
 	if x.onward {
@@ -251,10 +251,10 @@
 	f.drop(c.host.queue.Offer(f.now, cassiatally.Entry{
 		ID: id, Rank: x.rank, Share: f.shares[x.rank], Order: c.order, Deadline: c.deadline, Onward: x.onward,
 	}))
-	f.pump(c.host)
+	f.startCalls(c.host)
 }
 
-func (f *fleet) pump(h *host) {
+func (f *fleet) startCalls(h *host) {
 	start, dropped := h.queue.Next(f.now, max(f.slots-h.running, 0))
 	for _, id := range start {
 		c := f.calls[id]
@@ -270,12 +270,12 @@
 	delete(f.calls, id)
 	c.host.running--
 	c.host.queue.Done(f.now, f.classes[c.class].rank, f.now.Sub(c.began))
-	fate := inTime
+	r := inTime
 	if c.deadline.Before(f.now.Add(2 * linkTime)) {
-		fate = late
+		r = late
 	}
-	f.answer(c, fate)
-	f.pump(c.host)
+	f.answer(c, r)
+	f.startCalls(c.host)
 }
 
 func (f *fleet) drop(dropped []cassiatally.Dropped) {
@@ -286,8 +286,9 @@
 	}
 }
 
-// answer brings the levels of the endpoint back along the way of the call.
-func (f *fleet) answer(c *fleetCall, to fate) {
+// answer sends the result and the load report of the endpoint back along the path of
+// the call.
+func (f *fleet) answer(c *fleetCall, res requestResult) {
 	r := f.reportOf(c.host)
 	x := f.classes[c.class]
 	f.after(linkTime, func() {
@@ -296,16 +297,16 @@
 		if x.onward {
 			f.after(linkTime, func() {
 				c.entry.loads.Learn(f.now, wide, x.name, []cassiatally.ServiceLoad{r.load})
-				f.conclude(c, to)
+				f.recordResult(c, res)
 			})
 			return
 		}
-		f.conclude(c, to)
+		f.recordResult(c, res)
 	})
 }
 
-func (f *fleet) conclude(c *fleetCall, to fate) {
-	f.ended = append(f.ended, ending{class: c.class, offered: c.offered, at: f.now, fate: to})
+func (f *fleet) recordResult(c *fleetCall, res requestResult) {
+	f.ended = append(f.ended, endedRequest{class: c.class, offered: c.offered, at: f.now, result: res})
 }
 
 func (f *fleet) reportOf(h *host) report {
@@ -322,23 +323,24 @@
 func (f *fleet) tick(h *host) {
 	f.after(queueTick, func() { f.tick(h) })
 	h.queue.Tick(f.now, cassiatally.Concurrency(f.slots))
-	h.told = append(h.told, f.reportOf(h))
-	f.pump(h)
+	h.reports = append(h.reports, f.reportOf(h))
+	f.startCalls(h)
 }
 
-// gossip tells a node about each endpoint, with a report of some age.
+// gossip delivers a past report of each endpoint, of random age, to a node.
 func (f *fleet) gossip(n *entryNode) {
 	f.after(gossipTime, func() { f.gossip(n) })
 	for _, h := range f.hosts {
 		age := f.rng.IntN(int(gossipAge / queueTick))
-		if at := len(h.told) - 1 - age; at >= 0 {
-			n.loads.Observe(h.told[at].at, h.id, h.told[at].load)
+		if at := len(h.reports) - 1 - age; at >= 0 {
+			n.loads.Observe(h.reports[at].at, h.id, h.reports[at].load)
 		}
 	}
 }
 
-// within returns the requests of a rank that were offered in a time.
-func (f *fleet) within(r cassiatally.Rank, from, to time.Duration) (all []ending) {
+// offeredBetween returns the requests of a rank that were offered from one time to
+// another.
+func (f *fleet) offeredBetween(r cassiatally.Rank, from, to time.Duration) (all []endedRequest) {
 	for _, e := range f.ended {
 		if f.classes[e.class].rank == r && e.offered.Reached(cassiatally.Instant(from)) && e.offered.Before(cassiatally.Instant(to)) {
 			all = append(all, e)
@@ -347,44 +349,44 @@
 	return all
 }
 
-// part returns the part of the requests of a rank offered in a time that were
-// completed in time.
-func (f *fleet) part(r cassiatally.Rank, from, to time.Duration) float64 {
-	n, all := 0, f.within(r, from, to)
+// inTimeFraction returns the fraction of the requests of a rank, offered from one time
+// to another, that were completed in time.
+func (f *fleet) inTimeFraction(r cassiatally.Rank, from, to time.Duration) float64 {
+	n, all := 0, f.offeredBetween(r, from, to)
 	for _, e := range all {
-		if e.fate == inTime {
+		if e.result == inTime {
 			n++
 		}
 	}
 	return float64(n) / float64(len(all))
 }
 
-// completed returns the requests of a rank per second that were completed in
-// time in a time.
-func (f *fleet) completed(r cassiatally.Rank, from, to time.Duration) float64 {
+// completedPerSecond returns the rate of requests of a rank that were completed in
+// time, from one time to another.
+func (f *fleet) completedPerSecond(r cassiatally.Rank, from, to time.Duration) float64 {
 	n := 0
 	for _, e := range f.ended {
-		if f.classes[e.class].rank == r && e.fate == inTime && e.at.Reached(cassiatally.Instant(from)) && e.at.Before(cassiatally.Instant(to)) {
+		if f.classes[e.class].rank == r && e.result == inTime && e.at.Reached(cassiatally.Instant(from)) && e.at.Before(cassiatally.Instant(to)) {
 			n++
 		}
 	}
 	return float64(n) / (to - from).Seconds()
 }
 
-// The fleet of the barrier agency at a tenth of its rates.
+// The fleet is that of the barrier deployment at a tenth of its rates.
 const (
 	fleetRanks    = 4
 	fleetCapacity = 300
 	fleetSeeds    = 10
 	warm          = 3 * time.Second
 	loaded        = 5 * time.Second
-	// settling is the first part of a load, which shares and goodput leave out as
-	// the bench does.
+	// settling is the first part of a stage, which shares and goodput leave out as the
+	// bench does.
 	settling = time.Second
 )
 
-// fleetAt returns the fleet with the loads of its classes in multiples of the
-// capacity, after a warm-up.
+// fleetAt runs a fleet through a warm-up and the stages, whose loads are given in
+// multiples of the capacity.
 func fleetAt(seed uint64, stages ...stage) *fleet {
 	f := &fleet{
 		seed: seed, endpoints: 4, entries: 16, slots: 15, service: 200 * time.Millisecond,
@@ -408,21 +410,21 @@
 	return f
 }
 
-// mixed is the usual mix of classes.
+// mixed returns a stage with the default mix of classes.
 func mixed(d time.Duration, load float64) stage {
 	return stage{d, []float64{0.1 * load, 0.25 * load, 0.25 * load, 0.2 * load, 0.2 * load}}
 }
 
 func (f *fleet) goodput(from, to time.Duration) (sum float64) {
 	for r := range cassiatally.Rank(fleetRanks) {
-		sum += f.completed(r, from, to)
+		sum += f.completedPerSecond(r, from, to)
 	}
 	return sum / fleetCapacity
 }
 
-// Guards against a flood of the most urgent work that takes the kept shares of
-// other ranks: by levels at the entry that follow the backlog of the urgent rank,
-// and by onward calls that use up a share for calls of callers.
+// Guards against a flood of the most urgent work that takes the kept shares of other
+// ranks, in two ways: levels at the entry that follow the backlog of the urgent rank,
+// and onward calls that use up a kept share at the expense of calls from callers.
 func TestFleetKeepsShares(t *testing.T) {
 	for seed := range uint64(fleetSeeds) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -430,7 +432,7 @@
 			f := fleetAt(seed, stage{warm + loaded, []float64{4, 0.4, 0.4, 0.4, 0.4}})
 			from, to := warm+settling, warm+loaded
 			for r := range cassiatally.Rank(fleetRanks) {
-				kept := f.completed(r, from, to) / fleetCapacity
+				kept := f.completedPerSecond(r, from, to) / fleetCapacity
 				t.Logf("rank %d completes %.3f of the capacity, share %.2f", r, kept, f.shares[r])
 				is.True(kept >= shareTarget*float64(f.shares[r]))
 			}
@@ -439,8 +441,8 @@
 	}
 }
 
-// Guards against entries that refuse urgent calls which fit, because one of
-// several endpoints got more of them by chance.
+// Guards against entries that refuse urgent calls although all of them fit, because one
+// of several endpoints got more of them by chance.
 func TestFleetCompletesUrgentCalls(t *testing.T) {
 	for _, load := range []float64{1.5, 3, 6} {
 		t.Run(fmt.Sprintf("%g times capacity", load), func(t *testing.T) {
@@ -448,8 +450,8 @@
 			lost, all := 0, 0
 			for seed := range uint64(fleetSeeds) {
 				f := fleetAt(seed, mixed(loaded, load), mixed(warm, 0.5))
-				own := f.within(0, warm, warm+loaded)
-				part := f.part(0, warm, warm+loaded)
+				own := f.offeredBetween(0, warm, warm+loaded)
+				part := f.inTimeFraction(0, warm, warm+loaded)
 				t.Logf("seed %d: urgent in time %.4f of %d, goodput %.3f", seed, part, len(own), f.goodput(warm+settling, warm+loaded))
 				is.True(f.goodput(warm+settling, warm+loaded) >= goodputTarget)
 				all += len(own)
@@ -460,15 +462,15 @@
 	}
 }
 
-// Guards against entries that go on refusing after an overload because they learn
-// late that the endpoints have recovered.
+// Guards against entries that go on refusing after an overload because they receive the
+// levels of the recovered endpoints late.
 func TestFleetServesAllAfterOverload(t *testing.T) {
 	is := is.New(t)
 	for r := cassiatally.Rank(1); r < fleetRanks; r++ {
 		sum := 0.0
 		for seed := range uint64(fleetSeeds) {
 			f := fleetAt(seed, mixed(loaded, 6), mixed(warm+loaded, 0.5))
-			sum += f.part(r, warm+loaded+recoveryTarget, warm+loaded+recoveryTarget+time.Second)
+			sum += f.inTimeFraction(r, warm+loaded+recoveryTarget, warm+loaded+recoveryTarget+time.Second)
 		}
 		t.Logf("rank %d: %.3f completed in the third second after the overload", r, sum/fleetSeeds)
 		is.True(sum/fleetSeeds >= goodputTarget)
--- a/cassiatally/admitter/model_test.go
+++ b/cassiatally/admitter/model_test.go
@@ -21,13 +21,14 @@
 // outcome counts the calls of one flow after the warm-up.
 type outcome struct{ offered, inTime, late, refused, refusedAtEntry int }
 
-// model is a backend server with slots and an entry that applies the levels of
-// the previous window. It steps through virtual time.
+// model simulates a backend server with slots and an entry that applies the levels of
+// the previous window, in fixed steps of virtual time.
 type model struct {
 	queue cassiatally.Admitter
 	// limiter is optional; the limit is the number of slots without it.
 	limiter cassiatally.Limiter
-	// slots is what the backend server runs at a time; it queues the rest inside.
+	// slots is the number of calls that the backend server runs at a time; it queues
+	// the rest internally.
 	slots    int
 	service  func(rng *rand.Rand, at cassiatally.Instant) time.Duration
 	timeout  time.Duration
@@ -36,9 +37,10 @@
 	duration time.Duration
 	// lag is the time until the entry applies a level, in addition to a window.
 	lag time.Duration
-	// deaf makes the entry ignore the levels.
-	deaf bool
-	// perWindow has the goodput of each 100 ms; levels those after each window.
+	// ignoreLevels disables refusal at the entry.
+	ignoreLevels bool
+	// perWindow counts the calls completed in time in each 100 ms; levels has the
+	// levels at the end of each.
 	perWindow []int
 	levels    [][]cassiatally.Level
 }
@@ -61,7 +63,7 @@
 	inFlight int
 }
 
-// limit returns how many runs may be in flight.
+// limit returns the concurrency limit in force.
 func (m *model) limit() int {
 	if m.limiter == nil {
 		return m.slots
@@ -140,7 +142,7 @@
 					results[i].offered++
 				}
 				order := cassiatally.Order(rng.Float64())
-				if !m.deaf && float64(order) > float64(inForce[f.rank]) {
+				if !m.ignoreLevels && float64(order) > float64(inForce[f.rank]) {
 					if measured {
 						results[i].refusedAtEntry++
 					}
@@ -176,7 +178,7 @@
 	return results
 }
 
-// goodput returns the calls per second that ended in time from a time on.
+// goodput returns the calls per second that completed in time after from.
 func (m *model) goodput(from time.Duration) float64 {
 	good := 0
 	for _, n := range m.perWindow[from/window:] {
--- a/cassiatally/admitter/probes.go
+++ b/cassiatally/admitter/probes.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// probeShare is the part of the slots' time that calls of one rank may take whose
-// deadline seems out of reach.
+// probeShare is the fraction of the slots' time that the probes of one rank may take.
 const probeShare = 0.01
 
-// probes lets a call start now and then although its deadline seems out of reach.
-// Otherwise a rank whose calls are all dropped, while runs of other ranks take as
-// long as before, would never learn that its own runs have become shorter.
+// probes lets a few calls of a rank start although the estimated run time is longer
+// than the time until their deadline. Otherwise the estimate would never fall for a
+// rank whose calls are all dropped and whose runs have become shorter, while runs of
+// other ranks take as long as before.
 type probes struct {
-	// credit is the time that a probe may take, in seconds.
-	credit float64
+	// creditSeconds is the time that a probe may take.
+	creditSeconds float64
 	// dropped is set when a call of the rank was dropped in the window.
 	dropped bool
-	// taken is set from the first probe until a run of the rank ends.
-	taken bool
+	// started is set from the first probe until a run of the rank ends.
+	started bool
 }
 
-// take reports whether a call with that much time left starts as a probe.
-func (p *probes) take(left time.Duration) bool {
+// tryStart reports whether a call with that much time left starts as a probe, and
+// spends the credit if so.
+func (p *probes) tryStart(left time.Duration) bool {
 	p.dropped = true
-	if left <= 0 || p.credit < left.Seconds() {
+	if left <= 0 || p.creditSeconds < left.Seconds() {
 		return false
 	}
-	p.credit, p.taken = 0, true
+	p.creditSeconds, p.started = 0, true
 	return true
 }
 
-// close ends a window in which the slots had that much time, in seconds. Credit
-// grows only while calls are dropped, so that no probe starts before the estimate
-// has had time to prove wrong.
-func (p *probes) close(slots float64) {
+// closeWindow ends a window. slotSeconds is the number of slots times the length of
+// the window. Credit grows only while calls are dropped, so that the first probe
+// starts some windows after the first drop.
+func (p *probes) closeWindow(slotSeconds float64) {
 	if p.dropped {
-		p.credit += probeShare * slots
+		p.creditSeconds += probeShare * slotSeconds
 	}
 	p.dropped = false
 }
--- a/cassiatally/admitter/proportion_test.go
+++ b/cassiatally/admitter/proportion_test.go
@@ -11,9 +11,9 @@
 	"github.com/cassiatally/cassiatally/cassiatally/admitter"
 )
 
-// shortage drives a backend server with twice the work that it can do, in the
-// proportions of the barrier deployment's narrow service, and returns the part of
-// each rank that is served. Entry nodes refuse by the levels that it publishes.
+// shortage offers a backend server twice the work that it can do, in the proportions
+// of the barrier deployment's narrow service, and returns the fraction of each rank
+// that is served. Entry nodes refuse calls by the levels that it publishes.
 func shortage(a *admitter.Admitter) (served [3]float64) {
 	const (
 		places  = 17
@@ -74,7 +74,7 @@
 }
 
 // Guards against less urgent work that gets nothing for as long as a shortage lasts,
-// and against urgent work that pays for it.
+// and against urgent work that is refused to serve less urgent work.
 func TestLessUrgentWorkKeepsItsProportion(t *testing.T) {
 	is := is.New(t)
 	served := shortage(&admitter.Admitter{Proportion: 0.85})
--- a/cassiatally/admitter/queue.go
+++ b/cassiatally/admitter/queue.go
@@ -6,152 +6,155 @@
 	"github.com/cassiatally/cassiatally/cassiatally"
 )
 
-// item is an entry in the queue with its place in each heap.
+// item is an entry in the queue with its index in each heap.
 type item struct {
 	entry cassiatally.Entry
 	rank  cassiatally.Rank
-	// key is the order value scaled by the tenant's use; the lowest goes first.
+	// key is the order value, scaled up for a tenant above its fair share, less an
+	// offset for onward calls; the lowest goes first.
 	key float64
-	// probe marks an entry that starts although its deadline seems out of reach.
-	probe  bool
-	seq    uint64
-	places [placeCount]int
+	// probe marks an entry that starts although the estimated run time is longer than
+	// the time until its deadline.
+	probe   bool
+	seq     uint64
+	indexes [heapCount]int
 }
 
-// place numbers the heaps that an item is in.
-type place int
+// heapKind numbers the heaps that an item is in.
+type heapKind int
 
 const (
-	placeFirst place = iota
-	placeLast
-	placeDue
-	placeCount
+	heapByKey heapKind = iota
+	heapByKeyDescending
+	heapByDeadline
+	heapCount
 )
 
-// absent marks an item that is not in a heap.
-const absent = -1
+// notInHeap is the index of an item that is not in a heap.
+const notInHeap = -1
 
-// sorted is a heap that records the place of each item, so that an item can be
+// indexedHeap is a heap that records the index of each item, so that an item can be
 // removed from the middle.
-type sorted struct {
-	items  []*item
-	place  place
-	before func(a, b *item) bool
+type indexedHeap struct {
+	items []*item
+	kind  heapKind
+	less  func(a, b *item) bool
 }
 
-var _ heap.Interface = (*sorted)(nil)
+var _ heap.Interface = (*indexedHeap)(nil)
 
 // Len returns the number of items.
-func (s *sorted) Len() int { return len(s.items) }
+func (s *indexedHeap) Len() int { return len(s.items) }
 
 // Less reports whether the item at i comes before the item at j.
-func (s *sorted) Less(i, j int) bool { return s.before(s.items[i], s.items[j]) }
+func (s *indexedHeap) Less(i, j int) bool { return s.less(s.items[i], s.items[j]) }
 
 // Swap exchanges two items.
-func (s *sorted) Swap(i, j int) {
+func (s *indexedHeap) Swap(i, j int) {
 	s.items[i], s.items[j] = s.items[j], s.items[i]
-	s.items[i].places[s.place] = i
-	s.items[j].places[s.place] = j
+	s.items[i].indexes[s.kind] = i
+	s.items[j].indexes[s.kind] = j
 }
 
 // Push appends an item; called by container/heap.
-func (s *sorted) Push(x any) {
+func (s *indexedHeap) Push(x any) {
 	it := x.(*item)
-	it.places[s.place] = len(s.items)
+	it.indexes[s.kind] = len(s.items)
 	s.items = append(s.items, it)
 }
 
 // Pop removes the last item; called by container/heap.
-func (s *sorted) Pop() any {
+func (s *indexedHeap) Pop() any {
 	last := len(s.items) - 1
 	it := s.items[last]
 	s.items[last] = nil
 	s.items = s.items[:last]
-	it.places[s.place] = absent
+	it.indexes[s.kind] = notInHeap
 	return it
 }
 
-func (s *sorted) add(it *item) { heap.Push(s, it) }
+func (s *indexedHeap) add(it *item) { heap.Push(s, it) }
 
-func (s *sorted) remove(it *item) {
-	if at := it.places[s.place]; at != absent {
+func (s *indexedHeap) remove(it *item) {
+	if at := it.indexes[s.kind]; at != notInHeap {
 		heap.Remove(s, at)
 	}
 }
 
-func (s *sorted) top() *item {
+func (s *indexedHeap) top() *item {
 	if len(s.items) == 0 {
 		return nil
 	}
 	return s.items[0]
 }
 
-// queue holds the entries of all ranks. Every change costs O(log n).
+// queue holds the entries of all ranks, ordered by key and by deadline. Every change
+// costs O(log n).
 type queue struct {
-	first [cassiatally.MaxRanks]sorted
-	last  [cassiatally.MaxRanks]sorted
-	due   [cassiatally.MaxRanks]sorted
-	byID  map[cassiatally.CallID]*item
-	spare []*item
-	seq   uint64
+	byKey           [cassiatally.MaxRanks]indexedHeap
+	byKeyDescending [cassiatally.MaxRanks]indexedHeap
+	byDeadline      [cassiatally.MaxRanks]indexedHeap
+	byID            map[cassiatally.CallID]*item
+	freeItems       []*item
+	seq             uint64
 }
 
 func newQueue() *queue {
 	q := &queue{
 		byID: make(map[cassiatally.CallID]*item),
 	}
-	for r := range q.first {
-		q.first[r] = sorted{place: placeFirst, before: keyBefore}
-		q.last[r] = sorted{place: placeLast, before: keyAfter}
-		q.due[r] = sorted{place: placeDue, before: dueBefore}
+	for r := range q.byKey {
+		q.byKey[r] = indexedHeap{kind: heapByKey, less: keyLess}
+		q.byKeyDescending[r] = indexedHeap{kind: heapByKeyDescending, less: keyGreater}
+		q.byDeadline[r] = indexedHeap{kind: heapByDeadline, less: deadlineLess}
 	}
 	return q
 }
 
-func keyBefore(a, b *item) bool {
+func keyLess(a, b *item) bool {
 	if a.key != b.key {
 		return a.key < b.key
 	}
 	return a.seq < b.seq
 }
 
-func keyAfter(a, b *item) bool { return keyBefore(b, a) }
+func keyGreater(a, b *item) bool { return keyLess(b, a) }
 
-func dueBefore(a, b *item) bool { return a.entry.Deadline < b.entry.Deadline }
+func deadlineLess(a, b *item) bool { return a.entry.Deadline < b.entry.Deadline }
 
 func (q *queue) add(e cassiatally.Entry, r cassiatally.Rank, key float64) *item {
-	it := q.take()
+	it := q.newItem()
 	q.seq++
-	*it = item{entry: e, rank: r, key: key, seq: q.seq, places: [placeCount]int{absent, absent, absent}}
+	*it = item{entry: e, rank: r, key: key, seq: q.seq, indexes: [heapCount]int{notInHeap, notInHeap, notInHeap}}
 	q.byID[e.ID] = it
-	q.first[r].add(it)
-	q.last[r].add(it)
+	q.byKey[r].add(it)
+	q.byKeyDescending[r].add(it)
 	if e.Deadline != 0 {
-		q.due[r].add(it)
+		q.byDeadline[r].add(it)
 	}
 	return it
 }
 
-func (q *queue) take() *item {
-	if n := len(q.spare); n > 0 {
-		it := q.spare[n-1]
-		q.spare = q.spare[:n-1]
+func (q *queue) newItem() *item {
+	if n := len(q.freeItems); n > 0 {
+		it := q.freeItems[n-1]
+		q.freeItems = q.freeItems[:n-1]
 		return it
 	}
 	return &item{}
 }
 
 // remove takes an item out of all heaps and returns its entry. The item itself
-// is used again.
+// is reused by a later add.
 func (q *queue) remove(it *item) cassiatally.Entry {
-	q.first[it.rank].remove(it)
-	q.last[it.rank].remove(it)
-	q.due[it.rank].remove(it)
+	q.byKey[it.rank].remove(it)
+	q.byKeyDescending[it.rank].remove(it)
+	q.byDeadline[it.rank].remove(it)
 	delete(q.byID, it.entry.ID)
-	q.spare = append(q.spare, it)
+	q.freeItems = append(q.freeItems, it)
 	return it.entry
 }
 
 func (q *queue) len() int { return len(q.byID) }
 
-func (q *queue) rankLen(r cassiatally.Rank) int { return q.first[r].Len() }
+func (q *queue) rankLen(r cassiatally.Rank) int { return q.byKey[r].Len() }
--- a/cassiatally/admitter/runtimes.go
+++ b/cassiatally/admitter/runtimes.go
@@ -7,149 +7,149 @@
 )
 
 const (
-	// paceWeight is the most weight of one run in the pace. All ranks share it, so it
-	// may follow faster than the run time of a rank does.
-	paceWeight = 0.2
-	// paceNoise bounds the weight where run times vary: a run whose rank has a mean
-	// relative deviation d has at most the weight paceNoise / d^2. With the full
-	// weight, exponential run times (d = 0.74) move the pace by a third by chance, so
-	// that calls which can finish are refused.
-	paceNoise = 0.02
-	// mostPaceRise bounds what one run tells about the pace: it counts as at most that
-	// many times as long as expected. Kinds of work of one rank may differ a
-	// hundredfold; a single run of 300 ms, of a rank whose runs took 1 ms before, had the
-	// pace rise to 48 and the calls of all ranks refused as too late.
-	mostPaceRise = 5
-	// learnRuns is the number of runs of a rank that set its usual run time before
-	// they tell about the pace.
-	learnRuns = 10
-	// usualWeight is the least weight of one run in the run time of its rank at the
-	// usual pace. It is far below paceWeight, so that a change of the speed ends up in
-	// the pace, which the runs of other ranks can take back.
-	usualWeight = 0.02
-	// probeWeight is that of a run of a rank whose calls are dropped. Such runs are
-	// rare, and calls of the rank are refused until they have told what they tell.
+	// maxSlowdownWeight is the highest weight of one run in the slowdown. All ranks
+	// share the slowdown, so it may follow faster than the baseline of a rank.
+	maxSlowdownWeight = 0.2
+	// slowdownNoise limits the weight where run times vary: a run whose rank has a mean
+	// relative deviation d has at most the weight slowdownNoise / d^2. With the full
+	// weight, exponential run times (d = 0.74) move the slowdown by a third by chance,
+	// and calls which can finish are refused.
+	slowdownNoise = 0.02
+	// maxSlowdownRise limits the effect of one run on the slowdown: it counts as at most
+	// that many times as long as expected. Kinds of work of one rank may differ a
+	// hundredfold; a single run of 300 ms, of a rank whose runs took 1 ms before, raised
+	// the slowdown to 48, and the calls of all ranks were refused as too late.
+	maxSlowdownRise = 5
+	// baselineRuns is the number of runs of a rank that set only its baseline, before
+	// further runs also change the slowdown.
+	baselineRuns = 10
+	// baselineWeight is the lowest weight of one run in the baseline of its rank. It is
+	// far below maxSlowdownWeight, so that a change of speed goes into the slowdown,
+	// which the runs of other ranks can correct.
+	baselineWeight = 0.02
+	// probeWeight is the weight of a run of a rank whose calls are dropped. Such runs
+	// are rare, and calls of the rank are refused until the estimate has followed them.
 	probeWeight = 0.5
-	// cutWeight is the weight of a run that was cut off. It is higher, since each of
-	// them costs more than a run that ends.
+	// cutWeight is the weight of a run that was cut off. It is above baselineWeight,
+	// since each of them costs more than a run that ends.
 	cutWeight = 0.05
-	// cutShareWeight is the weight of one run in the part of the runs that are cut off.
-	// Now and then a run takes several times as long as others. Two such runs in a row,
-	// counted in full, had all calls of a backend server refused whose runs took half
-	// of the time that they had.
-	cutShareWeight = 0.3
-	// anchorWeight is the part of the pace that each run hands over to the run times
-	// of all ranks. Only their product is observed, so both would drift apart
-	// otherwise.
-	anchorWeight = 0.0002
-	// leastPace bounds the pace from below, so that run times close to 0 do not
-	// make it vanish.
-	leastPace = 0.05
+	// cutFractionWeight is the weight of one run in the fraction of runs that are cut
+	// off. Occasionally a run takes several times as long as others. When two such runs
+	// in a row counted in full, all calls of a backend server were refused although its
+	// runs took half of the time that the calls had.
+	cutFractionWeight = 0.3
+	// rebaseWeight is the part of the slowdown that each run moves into the baselines of
+	// all ranks. Only the product of slowdown and baseline is observed, so the two would
+	// drift apart otherwise.
+	rebaseWeight = 0.0002
+	// minSlowdown keeps the slowdown above 0 when run times are close to 0.
+	minSlowdown = 0.05
 )
 
-// runTimes estimates how long runs of a rank take, as the run time of the rank at
-// the usual pace times the pace. The pace is shared by all ranks: when a backend
-// server has become slower, or fast again, the runs of any rank tell so, also for
-// the ranks whose calls are all dropped meanwhile.
+// runTimes estimates the run time of a rank as the product of the rank's baseline and
+// a slowdown. The slowdown is shared by all ranks: when a backend server becomes
+// slower or faster, the runs of any rank show it, also for ranks whose calls are all
+// dropped at the time.
 type runTimes struct {
-	pace  float64
-	ranks [cassiatally.MaxRanks]rankTimes
-	// all is the typical run time over all ranks.
-	all time.Duration
+	slowdown float64
+	ranks    [cassiatally.MaxRanks]rankTimes
+	// overall is the typical run time over all ranks.
+	overall time.Duration
 }
 
 type rankTimes struct {
-	// typical and spread are those at the usual pace; spread is the mean absolute
-	// deviation.
-	typical, spread time.Duration
-	// noise is the mean relative deviation over a long time.
-	noise float64
-	runs  int
-	// cutShare is the part of the latest runs that were cut off.
-	cutShare float64
+	// baseline is the typical run time at a slowdown of 1, and deviation the mean
+	// absolute deviation from it.
+	baseline, deviation time.Duration
+	// relativeDeviation is the mean relative deviation over a long time.
+	relativeDeviation float64
+	runs              int
+	// cutFraction is the smoothed fraction of runs that were cut off.
+	cutFraction float64
 }
 
-// ended learns from a run that ended by itself. Probe tells that calls of its rank
-// are dropped.
-func (t *runTimes) ended(r cassiatally.Rank, busy time.Duration, probe bool) {
-	t.all = smooth(t.all, busy)
+// recordEnd updates the estimate with a run that was not cut off. Probe is set if calls
+// of its rank are being dropped.
+func (t *runTimes) recordEnd(r cassiatally.Rank, busy time.Duration, probe bool) {
+	t.overall = smooth(t.overall, busy)
 	s := &t.ranks[r]
 	s.runs++
-	s.cutShare -= cutShareWeight * s.cutShare
-	if t.pace == 0 {
-		t.pace = 1
+	s.cutFraction -= cutFractionWeight * s.cutFraction
+	if t.slowdown == 0 {
+		t.slowdown = 1
 	}
-	if s.typical == 0 {
-		s.typical = max(time.Duration(float64(busy)/t.pace), 1)
+	if s.baseline == 0 {
+		s.baseline = max(time.Duration(float64(busy)/t.slowdown), 1)
 		return
 	}
-	t.anchor()
-	if s.runs > learnRuns {
-		t.follow(s.paceWeight(), float64(busy)/float64(s.typical))
+	t.rebase()
+	if s.runs > baselineRuns {
+		t.updateSlowdown(s.slowdownWeight(), float64(busy)/float64(s.baseline))
 	}
-	usual := time.Duration(float64(busy) / t.pace)
-	weight := max(usualWeight, 1/float64(s.runs))
+	normalised := time.Duration(float64(busy) / t.slowdown)
+	weight := max(baselineWeight, 1/float64(s.runs))
 	if probe {
 		weight = max(weight, probeWeight)
 	}
-	deviation := max(usual-s.typical, s.typical-usual)
-	s.spread = smooth(s.spread, deviation)
-	s.noise += max(usualWeight, 1/float64(s.runs)) * (float64(deviation)/float64(s.typical) - s.noise)
-	s.typical = max(s.typical+time.Duration(weight*float64(usual-s.typical)), 1)
+	deviation := max(normalised-s.baseline, s.baseline-normalised)
+	s.deviation = smooth(s.deviation, deviation)
+	s.relativeDeviation += max(baselineWeight, 1/float64(s.runs)) * (float64(deviation)/float64(s.baseline) - s.relativeDeviation)
+	s.baseline = max(s.baseline+time.Duration(weight*float64(normalised-s.baseline)), 1)
 }
 
-func (s *rankTimes) paceWeight() float64 {
-	return min(paceWeight, paceNoise/max(s.noise*s.noise, paceNoise))
+func (s *rankTimes) slowdownWeight() float64 {
+	return min(maxSlowdownWeight, slowdownNoise/max(s.relativeDeviation*s.relativeDeviation, slowdownNoise))
 }
 
-// follow moves the pace towards that of one run.
-func (t *runTimes) follow(weight, pace float64) {
-	t.pace = max(t.pace+weight*(min(pace, mostPaceRise*t.pace)-t.pace), leastPace)
+// updateSlowdown moves the slowdown towards that of one run.
+func (t *runTimes) updateSlowdown(weight, slowdown float64) {
+	t.slowdown = max(t.slowdown+weight*(min(slowdown, maxSlowdownRise*t.slowdown)-t.slowdown), minSlowdown)
 }
 
-func (t *runTimes) anchor() {
-	f := 1 + anchorWeight*(t.pace-1)
-	t.pace /= f
+func (t *runTimes) rebase() {
+	f := 1 + rebaseWeight*(t.slowdown-1)
+	t.slowdown /= f
 	for r := range t.ranks {
 		s := &t.ranks[r]
-		s.typical = time.Duration(float64(s.typical) * f)
-		s.spread = time.Duration(float64(s.spread) * f)
+		s.baseline = time.Duration(float64(s.baseline) * f)
+		s.deviation = time.Duration(float64(s.deviation) * f)
 	}
 }
 
-// cut learns from a run that was broken off late. How much longer it would have
-// taken is unknown; it is taken to need as much again, and at least the typical run
-// time. Its time alone would keep the estimate below the deadlines at which runs
-// are broken off, and calls that cannot finish would be started without end.
-func (t *runTimes) cut(r cassiatally.Rank, busy time.Duration) {
+// recordCut updates the estimate with a run that was cut off after more than the
+// baseline of its rank. How much longer it would have taken is unknown; it is assumed
+// to need as much time again, and at least the typical run time. With the elapsed time
+// alone, the estimate would stay below the deadlines at which runs are cut off, and
+// calls that cannot finish would go on being started.
+func (t *runTimes) recordCut(r cassiatally.Rank, busy time.Duration) {
 	s := &t.ranks[r]
-	if s.typical == 0 || busy <= s.typical {
+	if s.baseline == 0 || busy <= s.baseline {
 		return
 	}
-	s.cutShare += cutShareWeight * (1 - s.cutShare)
+	s.cutFraction += cutFractionWeight * (1 - s.cutFraction)
 	least := busy + max(t.typical(r), busy)
-	t.follow(s.cutShare*s.paceWeight(), max(float64(least)/float64(s.typical), t.pace))
-	s.typical += time.Duration(s.cutShare * cutWeight * max(float64(least)/t.pace-float64(s.typical), 0))
-	t.all = smooth(t.all, max(t.all, busy))
+	t.updateSlowdown(s.cutFraction*s.slowdownWeight(), max(float64(least)/float64(s.baseline), t.slowdown))
+	s.baseline += time.Duration(s.cutFraction * cutWeight * max(float64(least)/t.slowdown-float64(s.baseline), 0))
+	t.overall = smooth(t.overall, max(t.overall, busy))
 }
 
-// typical returns the typical run time of a rank, or that of all ranks while the
-// rank has had no run.
+// typical returns the typical run time of a rank, or the overall one while the rank
+// has had no run.
 func (t *runTimes) typical(r cassiatally.Rank) time.Duration {
-	if s := t.ranks[r].typical; s > 0 {
-		return time.Duration(float64(s) * t.pace)
+	if s := t.ranks[r].baseline; s > 0 {
+		return time.Duration(float64(s) * t.slowdown)
 	}
-	return t.all
+	return t.overall
 }
 
-func (t *runTimes) spread(r cassiatally.Rank) time.Duration {
-	return time.Duration(float64(t.ranks[r].spread) * t.pace)
+func (t *runTimes) deviation(r cassiatally.Rank) time.Duration {
+	return time.Duration(float64(t.ranks[r].deviation) * t.slowdown)
 }
 
 // decay lowers the estimates by a factor.
 func (t *runTimes) decay(factor float64) {
-	t.all = time.Duration(float64(t.all) * factor)
-	t.pace = max(t.pace*factor, leastPace)
+	t.overall = time.Duration(float64(t.overall) * factor)
+	t.slowdown = max(t.slowdown*factor, minSlowdown)
 }
 
 func smooth(old, sample time.Duration) time.Duration {
--- a/cassiatally/admitter/runtimes_test.go
+++ b/cassiatally/admitter/runtimes_test.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	usualRun = 200 * time.Millisecond
-	slowRun  = 5 * usualRun
+	normalRun = 200 * time.Millisecond
+	slowRun   = 5 * normalRun
 	// shortTime is less than a slow run takes, longTime more.
 	shortTime = 800 * time.Millisecond
 	longTime  = 2 * time.Second
 	slots     = 10
 )
 
-// server starts calls one at a time and ends them at once, so that a test decides
-// how long each took.
+// server is an admitter that starts one call at a time, with a clock that moves by the
+// run time that the test sets for each call.
 type server struct {
 	admitter.Admitter
 
@@ -28,7 +28,7 @@
 	seq uint64
 }
 
-// offer offers a call and reports whether it is started.
+// offer offers a call with that much time left and reports whether it is started.
 func (s *server) offer(r cassiatally.Rank, left time.Duration) bool {
 	s.seq++
 	e := entry(s.seq, r, 0.01)
@@ -40,8 +40,8 @@
 	return len(start) == 1
 }
 
-// run offers a call whose run takes as long as stated and is cut off at its
-// deadline. It reports whether the call is started.
+// run offers a call whose run takes that long, or is cut off at its deadline if that is
+// earlier. It reports whether the call is started.
 func (s *server) run(r cassiatally.Rank, left, took time.Duration) bool {
 	if !s.offer(r, left) {
 		return false
@@ -61,38 +61,38 @@
 	s.Tick(s.now, slots)
 }
 
-// usual has some runs of two ranks at the usual speed.
-func (s *server) usual() {
+// runAtNormalSpeed runs calls of two ranks at the normal speed.
+func (s *server) runAtNormalSpeed() {
 	s.now = cassiatally.Instant(time.Hour)
 	for range 100 {
-		s.run(0, longTime, usualRun)
-		s.run(1, shortTime, usualRun)
+		s.run(0, longTime, normalRun)
+		s.run(1, shortTime, normalRun)
 	}
 }
 
-// Guards against calls that are started without end although each of them is cut
-// off at its deadline: the time of a run that was cut off is below its deadline,
-// and so is a mean of such times.
-func TestRunsThatAreCutOffEndTheStarts(t *testing.T) {
+// Guards against calls that go on being started although each of them is cut off at
+// its deadline: the elapsed time of a cut run never exceeds the time it was given, and
+// neither does a mean of such times.
+func TestRepeatedCutsStopFurtherStarts(t *testing.T) {
 	is := is.New(t)
 	s := &server{}
-	s.usual()
+	s.runAtNormalSpeed()
 	const most = 8
 	n := 0
 	for n <= most && s.run(1, shortTime, slowRun) {
 		n++
 	}
-	is.True(n > 1) // a single long run is chance
+	is.True(n > 1) // a single long run may be chance
 	is.True(n <= most)
-	is.True(s.offer(0, longTime)) // a call with the time is served
+	is.True(s.offer(0, longTime)) // a call with enough time is served
 }
 
 // Guards against a rank that stays refused after a slow-down: its calls are all
-// dropped, so only runs of another rank can tell that it is over.
-func TestOneRankTellsTheSpeedForAll(t *testing.T) {
+// dropped, so only runs of another rank show that the slow-down is over.
+func TestRunsOfOneRankUpdateTheSpeedOfAll(t *testing.T) {
 	is := is.New(t)
 	s := &server{}
-	s.usual()
+	s.runAtNormalSpeed()
 	for range 6 {
 		s.run(1, shortTime, slowRun)
 		s.run(0, longTime, slowRun)
@@ -101,28 +101,28 @@
 	const most = 10
 	n := 0
 	for n <= most && !s.offer(1, shortTime) {
-		s.run(0, longTime, usualRun)
+		s.run(0, longTime, normalRun)
 		n++
 	}
 	is.True(n <= most)
 }
 
-// Guards against a rank that stays refused when its own runs alone took longer
-// for a time, while those of another rank took as long as ever.
-func TestProbesLearnThatARankIsFastAgain(t *testing.T) {
+// Guards against a rank that stays refused after only its own runs took longer for a
+// time, while those of another rank took as long as before.
+func TestProbesDetectThatARankIsFastAgain(t *testing.T) {
 	is := is.New(t)
 	s := &server{}
-	s.usual()
+	s.runAtNormalSpeed()
 	for range 200 {
-		s.run(0, longTime, usualRun)
+		s.run(0, longTime, normalRun)
 		s.run(1, shortTime, slowRun)
 	}
-	is.True(!s.run(1, shortTime, usualRun))
+	is.True(!s.run(1, shortTime, normalRun))
 	const mostWindows = 100
 	windows, started := 0, 0
 	for windows < mostWindows && started < 10 {
-		s.run(0, longTime, usualRun)
-		if s.run(1, shortTime, usualRun) {
+		s.run(0, longTime, normalRun)
+		if s.run(1, shortTime, normalRun) {
 			started++
 		}
 		s.tick()
@@ -131,20 +131,20 @@
 	is.True(windows < mostWindows)
 }
 
-// Guards against probes that take more than their part of the slots while a rank
-// stays slow.
+// Guards against probes that take more than their fraction of the slots' time while a
+// rank stays slow.
 func TestProbesAreFew(t *testing.T) {
 	is := is.New(t)
 	const windows = 300
 	s := &server{}
-	s.usual()
+	s.runAtNormalSpeed()
 	for range 200 {
-		s.run(0, longTime, usualRun)
+		s.run(0, longTime, normalRun)
 		s.run(1, shortTime, slowRun)
 	}
 	began, started := s.now, 0
 	for range windows {
-		s.run(0, longTime, usualRun)
+		s.run(0, longTime, normalRun)
 		if s.run(1, shortTime, slowRun) {
 			started++
 		}
@@ -155,12 +155,12 @@
 	is.True(float64(started)*shortTime.Seconds() <= part*slots*s.now.Sub(began).Seconds())
 }
 
-// Guards against a run time that is taken to be shorter after each window in
-// which no run ends, while slow runs are in flight.
-func TestNoGuessWhileRunsAreInFlight(t *testing.T) {
+// Guards against an estimated run time that decays in each window in which no run ends,
+// while slow runs are in flight.
+func TestNoDecayWhileRunsAreInFlight(t *testing.T) {
 	is := is.New(t)
 	s := &server{}
-	s.usual()
+	s.runAtNormalSpeed()
 	for range 20 {
 		s.run(0, longTime, slowRun)
 	}
@@ -171,13 +171,13 @@
 	}
 }
 
-// Guards against work for calls that have too little time: services further up
-// would do their part of it before the call is refused.
+// Guards against admitting calls at the entry that have too little time: upstream
+// services would do their work before the call is refused.
 func TestRankWithoutTimeLosesItsLevel(t *testing.T) {
 	is := is.New(t)
 	const most = 10
 	s := &server{}
-	s.usual()
+	s.runAtNormalSpeed()
 	for range 20 {
 		s.run(0, longTime, slowRun)
 	}
@@ -187,7 +187,7 @@
 		for n <= most && !done(s.Levels()[1]) {
 			for range 3 {
 				if s.offer(r, left) {
-					s.Done(s.now, r, usualRun)
+					s.Done(s.now, r, normalRun)
 				}
 			}
 			s.tick()
@@ -198,16 +198,16 @@
 	is.True(windows(1, shortTime, func(l cassiatally.Level) bool { return l < 0.3 }) <= most)
 	is.Equal(s.Levels()[0], cassiatally.Level(1))
 	for range 20 {
-		s.run(0, longTime, usualRun)
+		s.run(0, longTime, normalRun)
 	}
 	is.True(windows(1, shortTime, func(l cassiatally.Level) bool { return l == 1 }) <= most)
 }
 
-// Guards against calls that join a stalled backend server although they have less
-// time than those that wait there already have taken, and against a stall that is
-// seen while runs end or while few are in flight.
+// Guards against starting calls at a stalled backend server that have less time left
+// than the stall suggests, and against detecting a stall while runs end or while few
+// are in flight.
 func TestStalledServerTakesCallsWithTimeOnly(t *testing.T) {
-	const passed = 3 * usualRun
+	const passed = 3 * normalRun
 	cases := []struct {
 		name    string
 		runs    int
@@ -222,13 +222,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			s := &server{}
-			s.usual()
+			s.runAtNormalSpeed()
 			for range c.runs {
 				is.True(s.offer(0, longTime))
 			}
 			s.now = s.now.Add(passed)
 			if c.ends {
-				s.Done(s.now, 0, usualRun)
+				s.Done(s.now, 0, normalRun)
 			}
 			is.Equal(s.offer(0, 2*passed-window), c.started)
 			is.True(s.offer(0, 2*passed+window))
@@ -236,8 +236,8 @@
 	}
 }
 
-// Guards against calls that are all refused as too late after one run of another rank
-// took far longer than the runs of that rank before, since that rank has several kinds
+// Guards against refusing all calls as too late after one run of another rank took far
+// longer than the earlier runs of that rank, as happens when a rank has several kinds
 // of work.
 func TestOneLongRunOfAnotherRank(t *testing.T) {
 	is := is.New(t)
@@ -251,8 +251,8 @@
 	is.True(s.offer(1, timeout))
 }
 
-// Guards against calls that are refused as too late after two runs in a row that took
-// several times as long as the others and were cut off.
+// Guards against refusing calls as too late after two runs in a row took several times
+// as long as the others and were cut off.
 func TestTwoRunsCutOff(t *testing.T) {
 	is := is.New(t)
 	s := &server{}
--- a/cassiatally/admitter/tenants.go
+++ b/cassiatally/admitter/tenants.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// maxTenants bounds the tenants of a rank that are told apart. The rest share
-	// one account.
+	// maxTenants bounds the tenants of a rank that have an account of their own. The
+	// others share one account.
 	maxTenants = 1024
 	// demandWeight is the weight of one window in a tenant's demand.
 	demandWeight = 0.25
-	// leastDemand, in calls per second, is the demand below which a tenant is
-	// forgotten.
-	leastDemand = 0.05
+	// minDemand, in calls per second, is the demand below which a tenant's account is
+	// removed.
+	minDemand = 0.05
 )
 
 // tenants divides the capacity of a rank fairly among its tenants.
 type tenants struct {
 	accounts map[cassiatally.Tenant]*account
-	// fair is the demand, in calls per second, up to which a tenant is served in
+	// fairShare is the demand, in calls per second, up to which a tenant is served in
 	// full; 0 means that all demand can be served.
-	fair    float64
-	demands []float64
+	fairShare float64
+	demands   []float64
 }
 
 type account struct {
@@ -32,9 +32,9 @@
 	demand   float64
 }
 
-// arrived counts a call of the tenant and returns the factor by which its order
-// values are scaled: how far the tenant is above its fair share, at least 1.
-func (t *tenants) arrived(name cassiatally.Tenant) float64 {
+// recordArrival counts a call of the tenant and returns the factor by which its order
+// values are scaled: the tenant's demand divided by the fair share, at least 1.
+func (t *tenants) recordArrival(name cassiatally.Tenant) float64 {
 	if t.accounts == nil {
 		t.accounts = make(map[cassiatally.Tenant]*account)
 	}
@@ -48,39 +48,40 @@
 		t.accounts[name] = a
 	}
 	a.arrivals++
-	if t.fair <= 0 {
+	if t.fairShare <= 0 {
 		return 1
 	}
-	return max(a.demand/t.fair, 1)
+	return max(a.demand/t.fairShare, 1)
 }
 
-// divide closes a window. It sets the fair share such that the demands of all
-// tenants, each cut to the fair share, add up to the available capacity.
-func (t *tenants) divide(seconds, available float64) {
+// closeWindow ends a window and sets the fair share such that the demands of all
+// tenants, each capped at the fair share, add up to the available capacity (max-min
+// fairness).
+func (t *tenants) closeWindow(seconds, available float64) {
 	t.demands = t.demands[:0]
 	total := 0.0
 	for name, a := range t.accounts {
 		a.demand += demandWeight * (a.arrivals/seconds - a.demand)
 		a.arrivals = 0
-		if a.demand < leastDemand {
+		if a.demand < minDemand {
 			delete(t.accounts, name)
 			continue
 		}
 		total += a.demand
 		t.demands = append(t.demands, a.demand)
 	}
-	t.fair = 0
+	t.fairShare = 0
 	if total <= available || math.IsInf(available, 1) {
 		return
 	}
 	slices.Sort(t.demands)
 	left := available
 	for i, d := range t.demands {
-		t.fair = left / float64(len(t.demands)-i)
-		if d >= t.fair {
+		t.fairShare = left / float64(len(t.demands)-i)
+		if d >= t.fairShare {
 			break
 		}
 		left -= d
 	}
-	t.fair = max(t.fair, leastDemand)
+	t.fairShare = max(t.fairShare, minDemand)
 }
