--- a/cassiatally/limiter/limiter_test.go
+++ b/cassiatally/limiter/limiter_test.go
@@ -19,16 +19,16 @@
 	// goodputTarget and recoveryTarget are those of section 2.3 of the design.
 	goodputTarget  = 0.95
 	recoveryTarget = 2 * time.Second
-	// mostQueueing is the self time, in multiples of the service time, that the
-	// queue inside a backend server may cause.
-	mostQueueing = 2.0
+	// maxQueueing is the highest mean self time, in multiples of the service time, that
+	// the queue inside a backend server may cause.
+	maxQueueing = 2.0
 )
 
 type backend struct {
-	name    string
-	slots   cassiatally.Concurrency
-	real    int
-	service time.Duration
+	name      string
+	slots     cassiatally.Concurrency
+	realSlots int
+	service   time.Duration
 }
 
 var backends = []backend{
@@ -49,17 +49,17 @@
 	}
 }
 
-func always(cassiatally.Instant) float64 { return 1 }
+func normalSpeed(cassiatally.Instant) float64 { return 1 }
 
 func (b backend) start(l cassiatally.Limiter) *server {
 	l.Resize(0, b.slots)
-	return &server{limiter: l, slots: b.slots, real: b.real, service: jittered(b.service, always)}
+	return &server{limiter: l, slots: b.slots, realSlots: b.realSlots, service: jittered(b.service, normalSpeed)}
 }
 
-// goodput returns what was completed, divided by the capacity.
+// goodput returns the completed requests, as a fraction of the capacity.
 func (b backend) goodput(s *server, from, to time.Duration) float64 {
 	completed, _ := s.between(from, to)
-	return float64(completed) * b.service.Seconds() / float64(b.real) / (to - from).Seconds()
+	return float64(completed) * b.service.Seconds() / float64(b.realSlots) / (to - from).Seconds()
 }
 
 // queueing returns the mean self time in multiples of the service time.
@@ -71,8 +71,8 @@
 	return float64(sum) / float64((to-from)/window) / float64(b.service)
 }
 
-// Guards against a limit that starves a backend server or that fills the queue
-// inside one, whatever it announces.
+// Guards against a limit that leaves a backend server partly idle or that fills its
+// internal queue, whatever number of slots it announces.
 func TestConverges(t *testing.T) {
 	for _, b := range backends {
 		t.Run(b.name, func(t *testing.T) {
@@ -80,24 +80,24 @@
 			s := b.start(&limiter.Limiter{})
 			s.run(seed, 20*time.Second)
 			is.True(b.goodput(s, 5*time.Second, 20*time.Second) >= goodputTarget)
-			is.True(b.queueing(s, 5*time.Second, 20*time.Second) <= mostQueueing)
+			is.True(b.queueing(s, 5*time.Second, 20*time.Second) <= maxQueueing)
 		})
 	}
 }
 
-// Shows that TestConverges can fail: a limit fixed at the announced slots fills
-// the queue inside a backend server that announces too many.
+// Shows that TestConverges can fail: a limit fixed at the announced slots fills the
+// internal queue of a backend server that announces too many.
 func TestFixedLimitMissesTheTarget(t *testing.T) {
 	is := is.New(t)
 	b := backends[5]
 	s := b.start(&fixedlimiter.Limiter{UseSlots: true})
 	s.run(seed, 20*time.Second)
-	is.True(b.queueing(s, 5*time.Second, 20*time.Second) > mostQueueing)
+	is.True(b.queueing(s, 5*time.Second, 20*time.Second) > maxQueueing)
 }
 
-// Guards against a floor that does not follow the backend server: the limit
-// would ratchet down to its minimum when it slows, or run away over several
-// slow-downs.
+// Guards against a floor that does not follow the speed of the backend server: the
+// limit would fall step by step to its minimum during a slow-down, or grow without
+// bound over several slow-downs.
 func TestFollowsSlowDowns(t *testing.T) {
 	const cycle, slowFrom, slowFactor = 10 * time.Second, 5 * time.Second, 5
 	for _, b := range backends {
@@ -117,7 +117,7 @@
 				slow := slowFactor * b.goodput(s, end-3*time.Second, end)
 				is.True(slow >= goodputTarget) // while it is slow
 				is.True(b.goodput(s, recovered, end+slowFrom) >= goodputTarget)
-				is.True(b.queueing(s, recovered, end+slowFrom) <= mostQueueing)
+				is.True(b.queueing(s, recovered, end+slowFrom) <= maxQueueing)
 			}
 		})
 	}
@@ -141,11 +141,10 @@
 	is.True(b.goodput(s, 10*time.Second+recoveryTarget, 20*time.Second) >= goodputTarget)
 }
 
-// Guards against a recovery that the limiter takes for the effect of its own cut,
-// so that the limit stays low, and against one that it learns late, since a low
-// limit ends few runs. Slow-downs end at different times within a test of the
-// limiter.
-func TestReturnsToTheLimitBeforeASlowDown(t *testing.T) {
+// Guards against a recovery that the limiter mistakes for the effect of its own cut, so
+// that the limit stays low, and against one that it detects late, since few runs end at
+// a low limit. Slow-downs end at different times within a test of the limiter.
+func TestRestoresTheLimitAfterASlowDown(t *testing.T) {
 	const from, slowFactor = 5 * time.Second, 5
 	b := backend{"narrow and slow", 15, 15, 200 * time.Millisecond}
 	for _, slow := range []time.Duration{1, 2, 3, 4, 5, 6} {
@@ -175,7 +174,7 @@
 		name    string
 		service func(*rand.Rand, cassiatally.Instant) time.Duration
 	}{
-		{"run times vary", jittered(b.service, always)},
+		{"run times vary", jittered(b.service, normalSpeed)},
 		{"run times are fixed", func(*rand.Rand, cassiatally.Instant) time.Duration { return b.service }},
 	}
 	for _, c := range cases {
@@ -184,14 +183,14 @@
 			s := b.start(&limiter.Limiter{})
 			s.service = c.service
 			s.run(seed, 5*time.Second)
-			s = &server{limiter: s.limiter, slots: 15, real: 5, service: c.service, since: 5 * time.Second}
+			s = &server{limiter: s.limiter, slots: 15, realSlots: 5, service: c.service, since: 5 * time.Second}
 			s.run(seed, 25*time.Second)
-			is.True(b.queueing(s, 5*time.Second, 20*time.Second) <= mostQueueing)
+			is.True(b.queueing(s, 5*time.Second, 20*time.Second) <= maxQueueing)
 		})
 	}
 }
 
-// Guards against failures that do not depend on load and push the limit down.
+// Guards against a limit that falls because of failures that do not depend on load.
 func TestRareFailuresKeepTheLimit(t *testing.T) {
 	is := is.New(t)
 	const rare = 0.01
@@ -202,8 +201,7 @@
 	is.True(b.goodput(s, 5*time.Second, 20*time.Second) >= goodputTarget*(1-rare))
 }
 
-// Guards against a burst of failures of one moment that cuts the limit more than
-// once.
+// Guards against a burst of simultaneous failures that cuts the limit more than once.
 func TestOneCutPerTypicalTime(t *testing.T) {
 	is := is.New(t)
 	const self = 10 * time.Millisecond
@@ -219,7 +217,8 @@
 	is.Equal(l.Limit(), cassiatally.Concurrency(49))
 }
 
-// Guards against a limit outside its bounds.
+// Guards against an initial limit that is not a tenth of the announced slots or two, and
+// against a limit that grows above them.
 func TestBounds(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -237,7 +236,7 @@
 			l := &limiter.Limiter{}
 			l.Resize(0, c.slots)
 			is.Equal(l.Limit(), c.start)
-			s := &server{limiter: l, slots: c.slots, real: 4000, service: jittered(10*time.Millisecond, always)}
+			s := &server{limiter: l, slots: c.slots, realSlots: 4000, service: jittered(10*time.Millisecond, normalSpeed)}
 			s.run(seed, 10*time.Second)
 			is.Equal(l.Limit(), c.most)
 			l.Resize(cassiatally.Instant(10*time.Second), 5)
@@ -246,9 +245,9 @@
 	}
 }
 
-// Guards against limits that stay where a burst left them at low load, so that
-// balancers send more calls to the endpoints with the higher ones, and against
-// growth far beyond the use that was seen.
+// Guards against limits that stay unequal at low load after a burst, so that balancers
+// send more calls to the endpoints with the higher ones, and against growth far beyond
+// the concurrency that was used.
 func TestGrowthAtLowLoad(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -266,7 +265,7 @@
 			l.Resize(0, 100)
 			is.Equal(l.Limit(), cassiatally.Concurrency(10))
 			s := &server{
-				limiter: l, slots: 100, real: 100, service: jittered(10*time.Millisecond, always),
+				limiter: l, slots: 100, realSlots: 100, service: jittered(10*time.Millisecond, normalSpeed),
 				demand: func(cassiatally.Instant) int { return c.demand },
 			}
 			s.run(seed, 10*time.Second)
--- a/cassiatally/limiter/model_test.go
+++ b/cassiatally/limiter/model_test.go
@@ -10,26 +10,27 @@
 
 const window = 100 * time.Millisecond
 
-// server is a backend server that runs at most real requests at once and queues
-// the others inside, where only their self time shows it.
+// server simulates a backend server that runs at most realSlots requests at once and
+// queues the others internally, which shows only in their self time.
 type server struct {
-	limiter cassiatally.Limiter
-	slots   cassiatally.Concurrency
-	real    int
+	limiter   cassiatally.Limiter
+	slots     cassiatally.Concurrency
+	realSlots int
 	// service returns the time a request takes without queueing.
 	service func(rng *rand.Rand, at cassiatally.Instant) time.Duration
-	// demand returns the calls that wait to be started; the default is unlimited.
+	// demand returns the number of calls that callers keep in flight if the limit
+	// allows it; nil means unlimited.
 	demand func(at cassiatally.Instant) int
-	// failing returns the part of requests that fail at an instant.
+	// failing returns the fraction of requests that fail at an instant.
 	failing func(at cassiatally.Instant) float64
 	timeout time.Duration
-	// since is when the run begins.
+	// since is the virtual time at which run begins.
 	since time.Duration
 
-	rng     *rand.Rand
-	running ends
-	backlog []job
-	flights int
+	rng      *rand.Rand
+	running  jobHeap
+	backlog  []job
+	inFlight int
 	// history has one entry per 100 ms.
 	history []reading
 }
@@ -46,13 +47,13 @@
 	inFlight     cassiatally.Concurrency
 }
 
-type ends []job
+type jobHeap []job
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i].end < e[j].end }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(job)) }
-func (e *ends) Pop() any {
+func (e jobHeap) Len() int           { return len(e) }
+func (e jobHeap) Less(i, j int) bool { return e[i].end < e[j].end }
+func (e jobHeap) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *jobHeap) Push(x any)        { *e = append(*e, x.(job)) }
+func (e *jobHeap) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
@@ -92,7 +93,7 @@
 			r.completed++
 		}
 		sum += self
-		s.flights--
+		s.inFlight--
 		s.limiter.Observe(now, cassiatally.RunSample{Self: self, InFlight: j.inFlight, Failed: failed})
 		if len(s.backlog) > 0 {
 			s.begin(now, s.backlog[0])
@@ -106,10 +107,10 @@
 	if s.demand != nil {
 		limit = min(limit, s.demand(now))
 	}
-	for s.flights < min(limit, 5000) {
-		s.flights++
-		j := job{arrived: now, inFlight: cassiatally.Concurrency(s.flights)}
-		if len(s.running) < s.real {
+	for s.inFlight < min(limit, 5000) {
+		s.inFlight++
+		j := job{arrived: now, inFlight: cassiatally.Concurrency(s.inFlight)}
+		if len(s.running) < s.realSlots {
 			s.begin(now, j)
 		} else {
 			s.backlog = append(s.backlog, j)
@@ -122,7 +123,7 @@
 	heap.Push(&s.running, j)
 }
 
-// between returns the sums of the readings from one time to another.
+// between returns the completed requests and the limits from one time to another.
 func (s *server) between(from, to time.Duration) (completed int, limits []cassiatally.Concurrency) {
 	for _, r := range s.history[from/window : to/window] {
 		completed += r.completed
