--- a/cassiatally/balancer/balancer_test.go
+++ b/cassiatally/balancer/balancer_test.go
@@ -16,8 +16,8 @@
 	service = cassiatally.Service("avail-svc")
 	near    = cassiatally.DataCentre("near")
 	far     = cassiatally.DataCentre("far")
-	// settled is a time at which slow start has ended.
-	settled = cassiatally.Instant(time.Minute)
+	// afterSlowStart is an instant at which the slow start has ended.
+	afterSlowStart = cassiatally.Instant(time.Minute)
 )
 
 func candidate(n int, dc cassiatally.DataCentre) cassiatally.Candidate {
@@ -45,8 +45,8 @@
 	return b
 }
 
-// spread chooses n times without any call in flight.
-func spread(b *balancer.Balancer, now cassiatally.Instant, n int) map[cassiatally.NodeID]int {
+// chooseMany chooses n times without any call in flight, and counts the choices.
+func chooseMany(b *balancer.Balancer, now cassiatally.Instant, n int) map[cassiatally.NodeID]int {
 	counts := make(map[cassiatally.NodeID]int)
 	for range n {
 		id, ok := b.Choose(now, service, nil)
@@ -58,7 +58,7 @@
 	return counts
 }
 
-// Guards against choices of endpoints that must not be chosen.
+// Guards against choosing an endpoint that is not ready or is to be avoided.
 func TestEligible(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -77,7 +77,7 @@
 			all := candidates(1, 0)
 			c.change(&all[0])
 			b := newBalancer(1, all)
-			id, ok := b.Choose(settled, service, c.avoid)
+			id, ok := b.Choose(afterSlowStart, service, c.avoid)
 			if !ok {
 				id = "none"
 			}
@@ -88,8 +88,8 @@
 	}
 }
 
-// Guards against calls to another data centre without need, and against a near
-// data centre that is kept although it is overloaded.
+// Guards against calls to another data centre while the near one has room, and against
+// calls that stay in the near data centre although it is overloaded.
 func TestNearDataCentreFirst(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -111,61 +111,61 @@
 			for i := range 4 {
 				all[i].Load.Queued = c.queued
 			}
-			b.Update(settled, all)
-			id, ok := b.Choose(settled, service, nil)
+			b.Update(afterSlowStart, all)
+			id, ok := b.Choose(afterSlowStart, service, nil)
 			is.True(ok)
 			is.Equal(id >= "n4", c.far)
 		})
 	}
 }
 
-// Guards against old reports that keep calls away from an endpoint for good.
+// Guards against an old report that keeps calls away from an endpoint forever.
 func TestReportsAge(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(1, candidates(2, 0))
 	all := candidates(2, 0)
 	all[0].Load.Queued = 1000
-	b.Update(settled, all)
-	is.Equal(spread(b, settled, 100)["n0"], 0)
-	later := settled.Add(time.Minute)
+	b.Update(afterSlowStart, all)
+	is.Equal(chooseMany(b, afterSlowStart, 100)["n0"], 0)
+	later := afterSlowStart.Add(time.Minute)
 	b.Update(later, all) // gossip repeats the old report
-	is.True(spread(b, later, 100)["n0"] > 0)
+	is.True(chooseMany(b, later, 100)["n0"] > 0)
 }
 
-// Guards against calls that go on to an endpoint behind a partition until
-// membership suspects it, while another one would serve them, and against a
-// refusal when no other one is left.
-func TestUnreached(t *testing.T) {
+// Guards against calls that are still sent to an endpoint behind a partition until
+// membership suspects it, while another one would serve them, and against a refusal
+// when no other one is left.
+func TestUnreachedEndpoint(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(1, candidates(1, 1))
-	b.Started(settled, "n0")
-	b.Finished(settled, "n0", cassiatally.CallResult{Failed: true, Unreached: true})
-	is.Equal(spread(b, settled, 20)["n1"], 20)
-	b.Started(settled, "n1")
-	b.Finished(settled, "n1", cassiatally.CallResult{Failed: true, Unreached: true})
-	is.Equal(spread(b, settled, 20)["none"], 0)
-	is.Equal(spread(b, settled.Add(2*time.Second), 20)["n0"], 20)
+	b.Started(afterSlowStart, "n0")
+	b.Finished(afterSlowStart, "n0", cassiatally.CallResult{Failed: true, Unreached: true})
+	is.Equal(chooseMany(b, afterSlowStart, 20)["n1"], 20)
+	b.Started(afterSlowStart, "n1")
+	b.Finished(afterSlowStart, "n1", cassiatally.CallResult{Failed: true, Unreached: true})
+	is.Equal(chooseMany(b, afterSlowStart, 20)["none"], 0)
+	is.Equal(chooseMany(b, afterSlowStart.Add(2*time.Second), 20)["n0"], 20)
 }
 
-// Guards against calls to an endpoint of whose node nothing is heard, and against
-// one that gets none although its node is heard again.
+// Guards against calls to an endpoint whose node is silent, and against an endpoint that
+// gets none although its node is responding again.
 func TestSilentNode(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(1, candidates(1, 1))
-	b.Silent(settled, "n0")
-	is.Equal(spread(b, settled, 20)["n1"], 20)
+	b.Silent(afterSlowStart, "n0")
+	is.Equal(chooseMany(b, afterSlowStart, 20)["n1"], 20)
 	b.Heard("n0")
-	is.Equal(spread(b, settled, 20)["n0"], 20)
+	is.Equal(chooseMany(b, afterSlowStart, 20)["n0"], 20)
 }
 
-// Guards against a new endpoint that gets its full part of the calls while it is
-// still cold, and against a restart that is not noticed.
+// Guards against a new endpoint that gets its full part of the calls while it is still
+// cold, and against a restart that does not begin a slow start.
 func TestSlowStart(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(1, candidates(2, 0))
 	all := candidates(2, 0)
 	all[1].Ref.Incarnation = 2
-	b.Update(settled, all)
+	b.Update(afterSlowStart, all)
 	run := func(now cassiatally.Instant) (n int) {
 		const calls = 20
 		counts := make(map[cassiatally.NodeID]int)
@@ -181,12 +181,12 @@
 		}
 		return counts["n1"]
 	}
-	is.True(run(settled) <= 2)
-	is.Equal(run(settled.Add(time.Minute)), 10)
+	is.True(run(afterSlowStart) <= 2)
+	is.Equal(run(afterSlowStart.Add(time.Minute)), 10)
 }
 
-// Guards against a node that starts again beside a warm endpoint and leaves it
-// nearly idle, while calls queue at the other one.
+// Guards against a node that restarts beside a warm endpoint, so that the endpoint is
+// treated as cold and stays nearly idle while calls queue at the other one.
 func TestNoSlowStart(t *testing.T) {
 	is := is.New(t)
 	const slots = 8
@@ -197,18 +197,18 @@
 	b := newBalancer(1, all)
 	b.SlowStart = -1
 	all[1].Ref.Incarnation = 2
-	b.Update(settled, all)
+	b.Update(afterSlowStart, all)
 	counts := make(map[cassiatally.NodeID]int)
 	for range slots {
-		id, _ := b.Choose(settled, service, nil)
-		b.Started(settled, id)
+		id, _ := b.Choose(afterSlowStart, service, nil)
+		b.Started(afterSlowStart, id)
 		counts[id]++
 	}
 	is.Equal(counts["n1"], slots/2)
 }
 
-// Guards against failing endpoints that keep getting calls, against the exclusion
-// of too many, and against exclusions that never end.
+// Guards against failing endpoints that go on getting calls, against the exclusion of
+// too many, and against exclusions that never end.
 func TestOutliers(t *testing.T) {
 	const endpoints = 6
 	fail := func(b *balancer.Balancer, now cassiatally.Instant, failing int) {
@@ -234,45 +234,45 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			b := newBalancer(1, candidates(endpoints, 0))
-			fail(b, settled, c.failing)
-			is.Equal(endpoints-len(spread(b, settled, 1000)), c.excluded)
-			is.Equal(len(spread(b, settled.Add(time.Minute), 1000)), endpoints)
+			fail(b, afterSlowStart, c.failing)
+			is.Equal(endpoints-len(chooseMany(b, afterSlowStart, 1000)), c.excluded)
+			is.Equal(len(chooseMany(b, afterSlowStart.Add(time.Minute), 1000)), endpoints)
 		})
 	}
 }
 
-// Guards against calls that pile up on an endpoint beyond its connections while
-// another has some left, and against a refusal of urgent and other calls alike
-// when none has.
+// Guards against calls that exceed this node's share of an endpoint's connections while
+// another endpoint has room, and against a refusal of urgent and other calls alike when
+// none has.
 func TestConnectionBound(t *testing.T) {
 	const share = 5 // a quarter of the connections
 	is := is.New(t)
 	all := candidates(1, 1)
 	all[0].Connections, all[1].Connections = 20, 20
-	// The far endpoint is far slower, so that only the bound speaks for it.
+	// The far endpoint is much slower, so that it is chosen only because of the bound.
 	all[1].Load.Typical = time.Minute
 	b := newBalancer(1, all)
 	choose := func() cassiatally.NodeID {
-		id, ok := b.Choose(settled, service, nil)
+		id, ok := b.Choose(afterSlowStart, service, nil)
 		is.True(ok)
-		b.Started(settled, id)
+		b.Started(afterSlowStart, id)
 		return id
 	}
 	for range share {
 		is.Equal(choose(), cassiatally.NodeID("n0"))
 	}
-	b.Update(settled, nil) // unlisted and listed again while calls are in flight
-	b.Update(settled, all)
+	b.Update(afterSlowStart, nil) // unlisted and listed again while calls are in flight
+	b.Update(afterSlowStart, all)
 	for range share {
 		is.Equal(choose(), cassiatally.NodeID("n1"))
 	}
 	is.Equal(choose(), cassiatally.NodeID("n0")) // both are full
-	b.Finished(settled, "n1", cassiatally.CallResult{})
+	b.Finished(afterSlowStart, "n1", cassiatally.CallResult{})
 	is.Equal(choose(), cassiatally.NodeID("n1"))
 }
 
-// Guards against calls that pile up on one endpoint while others are idle. A
-// choice at random leaves a difference several times as large.
+// Guards against calls that accumulate at one endpoint while others are idle. A single
+// random choice leaves a difference several times as large.
 func TestBalance(t *testing.T) {
 	const endpoints, calls, mostAbove = 16, 1600, 5
 	is := is.New(t)
@@ -281,24 +281,24 @@
 	random := make(map[int]int)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range calls {
-		id, ok := b.Choose(settled, service, nil)
+		id, ok := b.Choose(afterSlowStart, service, nil)
 		is.True(ok)
-		b.Started(settled, id)
+		b.Started(afterSlowStart, id)
 		counts[id]++
 		random[rng.IntN(endpoints)]++
 	}
-	is.True(most(counts) <= calls/endpoints+mostAbove)
-	is.True(most(random) > calls/endpoints+mostAbove)
+	is.True(maxCount(counts) <= calls/endpoints+mostAbove)
+	is.True(maxCount(random) > calls/endpoints+mostAbove)
 }
 
-func most[K comparable](counts map[K]int) (n int) {
+func maxCount[K comparable](counts map[K]int) (n int) {
 	for _, c := range counts {
 		n = max(n, c)
 	}
 	return n
 }
 
-// Guards against endpoints of different speed that get equal parts of the calls.
+// Guards against endpoints of different limits that get equal parts of the calls.
 func TestFasterEndpointGetsMore(t *testing.T) {
 	is := is.New(t)
 	all := candidates(2, 0)
@@ -306,8 +306,8 @@
 	b := newBalancer(1, all)
 	counts := make(map[cassiatally.NodeID]int)
 	for range 100 {
-		id, _ := b.Choose(settled, service, nil)
-		b.Started(settled, id)
+		id, _ := b.Choose(afterSlowStart, service, nil)
+		b.Started(afterSlowStart, id)
 		counts[id]++
 	}
 	is.Equal(counts["n1"], 80)
@@ -318,14 +318,14 @@
 	l := newBalancer(1, candidates(endpoints/2, endpoints/2))
 	b.ReportAllocs()
 	for b.Loop() {
-		id, _ := l.Choose(settled, service, nil)
-		l.Started(settled, id)
-		l.Finished(settled, id, cassiatally.CallResult{Took: time.Millisecond})
+		id, _ := l.Choose(afterSlowStart, service, nil)
+		l.Started(afterSlowStart, id)
+		l.Finished(afterSlowStart, id, cassiatally.CallResult{Took: time.Millisecond})
 	}
 }
 
-// Guards against calls that cross to another data centre while the endpoint nearby
-// has room, and against calls that wait nearby while the other one has.
+// Guards against calls to another data centre while the near endpoint has room, and
+// against calls that wait at the near one while the far one has room.
 func TestNearWhileItHasRoom(t *testing.T) {
 	for _, c := range []struct {
 		inFlight int
@@ -334,19 +334,19 @@
 		is := is.New(t)
 		b := newBalancer(1, candidates(1, 1))
 		for range c.inFlight {
-			b.Started(settled, "n0")
+			b.Started(afterSlowStart, "n0")
 		}
-		is.Equal(spread(b, settled, 20)[c.want], 20)
+		is.Equal(chooseMany(b, afterSlowStart, 20)[c.want], 20)
 	}
 }
 
-// Guards against calls that go to an endpoint behind a partition once a second, as
-// long as it lasts, and each time wait until that shows.
-func TestUnreachedForLong(t *testing.T) {
+// Guards against calls that go to an endpoint behind a partition once a second for as
+// long as it lasts, and each time wait until the endpoint proves unreachable.
+func TestUnreachedPauseGrows(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(1, candidates(1, 1))
-	now, tries := settled, 0
-	for now.Before(settled.Add(20 * time.Second)) {
+	now, tries := afterSlowStart, 0
+	for now.Before(afterSlowStart.Add(20 * time.Second)) {
 		now = now.Add(100 * time.Millisecond)
 		if id, _ := b.Choose(now, service, nil); id == "n0" {
 			tries++
@@ -360,11 +360,11 @@
 	b.Finished(now, "n0", cassiatally.CallResult{Took: time.Millisecond})
 	later := now.Add(5 * time.Second)
 	b.Finished(later, "n0", cassiatally.CallResult{Failed: true, Unreached: true})
-	is.Equal(spread(b, later.Add(1100*time.Millisecond), 20)["n0"], 20) // it starts with a short pause again
+	is.Equal(chooseMany(b, later.Add(1100*time.Millisecond), 20)["n0"], 20) // after a success the pause is short again
 }
 
-// Guards against an endpoint that joins a service of short calls and gets none of
-// them, since it is taken to be slower than the others.
+// Guards against an endpoint that joins a service of short calls and gets none of them,
+// because the default run time makes it look slower than the others.
 func TestNewEndpointOfAFastService(t *testing.T) {
 	is := is.New(t)
 	all := candidates(2, 0)
@@ -373,8 +373,8 @@
 	b := newBalancer(1, all)
 	counts := make(map[cassiatally.NodeID]int)
 	for range 20 {
-		id, _ := b.Choose(settled, service, nil)
-		b.Started(settled, id)
+		id, _ := b.Choose(afterSlowStart, service, nil)
+		b.Started(afterSlowStart, id)
 		counts[id]++
 	}
 	is.True(counts["n1"] >= 3)
