--- a/cassiatally/loadtracker/loadtracker.go
+++ b/cassiatally/loadtracker/loadtracker.go
@@ -1,9 +1,9 @@
 // Package loadtracker decides at the entry whether a call chain can finish.
 //
-// A Tracker learns from answers which services a (service, kind) pair touches.
-// It holds the level of each service and rank, weighted over the endpoints of
-// the service, and refuses a request whose order value exceeds the lowest level
-// on its way. Refusal at the entry costs no work in the chain.
+// A Tracker records from answers which services a (service, kind) pair touches. It
+// holds the level of each service and rank, weighted over the endpoints of the
+// service, and refuses a request whose order value exceeds the lowest level in its
+// chain. A refusal at the entry costs no work in the chain.
 //
 // # Usage
 //
@@ -21,40 +21,42 @@
 )
 
 const (
-	defaultFresh     = 2 * time.Second
-	defaultDrift     = time.Second
-	defaultForget    = 5 * time.Minute
-	defaultMaxKinds  = 8192
-	defaultMaxTouch  = 64
-	defaultServices  = 1024
-	defaultEndpoints = 64
-	// sweepPeriod bounds how often full tables are searched for old entries.
+	defaultFresh       = 2 * time.Second
+	defaultDrift       = time.Second
+	defaultExpiry      = 5 * time.Minute
+	defaultMaxKinds    = 8192
+	maxTouched         = 64
+	defaultMaxServices = 1024
+	maxEndpoints       = 64
+	// sweepPeriod is the shortest time between searches of a full table for old
+	// entries.
 	sweepPeriod = time.Second
-	// learnedWeight smooths levels from answers, which come from one endpoint at
-	// a time.
-	learnedWeight = 0.18
-	// learnedTime is the time in which the smoothed levels from answers follow where
-	// answers are fewer than that weight needs. An entry with ten answers a second
-	// went on refusing for two seconds after endpoints had recovered.
-	learnedTime = 100 * time.Millisecond
-	// answersWeight is the number of endpoints that the smoothed levels from answers
-	// stand for. They are many endpoints' levels, though each answer has one.
-	answersWeight = 4
-	// leastLevel is the lowest level that endpoints report.
-	leastLevel = 0.01
-	// halfAge is the age at which a report counts half as much as a fresh one.
-	// Gossip repeats every second, answers are fresh.
-	halfAge = 250 * time.Millisecond
+	// answerWeight is the lowest weight of one answer in the smoothed levels. Each
+	// answer has the level of one endpoint only.
+	answerWeight = 0.18
+	// answerSmoothing is the time constant of the smoothed levels where answers are few.
+	// With answerWeight alone, an entry with ten answers a second went on refusing for
+	// two seconds after endpoints had recovered.
+	answerSmoothing = 100 * time.Millisecond
+	// answerEndpoints is the number of endpoints as which the smoothed levels from
+	// answers count. Each answer has the level of one endpoint, but the smoothed levels
+	// come from many.
+	answerEndpoints = 4
+	// minLevel is the lowest level that endpoints report.
+	minLevel = 0.01
+	// halfWeightAge is the age at which a report counts half as much as a new one.
+	// Gossip repeats every second, while the levels of answers are always new.
+	halfWeightAge = 250 * time.Millisecond
 )
 
 // Tracker holds the levels of services and the call graph.
 type Tracker struct {
 	// Fresh is the age up to which a level counts in full; 0 means 2 s.
 	Fresh time.Duration
-	// Drift is the time in which an older level returns to 1; 0 means 1 s.
+	// Drift is the time in which a level older than that returns to 1; 0 means 1 s.
 	Drift time.Duration
-	// Forget is the time after which unused entries are forgotten; 0 means 5 min.
-	Forget time.Duration
+	// Expiry is the time after which unused entries are evicted; 0 means 5 min.
+	Expiry time.Duration
 	// MaxKinds bounds the (service, kind) pairs; 0 means 8192.
 	MaxKinds int
 	// MaxServices bounds the services; 0 means 1024.
@@ -63,7 +65,7 @@
 	chains   map[work]*chain
 	services map[cassiatally.Service]*service
 
-	chainsSwept, servicesSwept cassiatally.Instant
+	chainsSweptAt, servicesSweptAt cassiatally.Instant
 }
 
 type work struct {
@@ -71,18 +73,19 @@
 	kind    cassiatally.WorkKind
 }
 
-// chain is what a (service, kind) touches.
+// chain records the services that a (service, kind) touches, and when each was last
+// touched.
 type chain struct {
-	used    cassiatally.Instant
-	touched map[cassiatally.Service]cassiatally.Instant
+	lastUsed cassiatally.Instant
+	touched  map[cassiatally.Service]cassiatally.Instant
 }
 
-// service has the levels that endpoints reported by gossip, and the smoothed
-// levels from answers.
+// service holds the levels that endpoints reported by gossip, and the smoothed levels
+// from answers.
 type service struct {
-	used      cassiatally.Instant
-	endpoints map[cassiatally.NodeID]*report
-	learned   report
+	lastUsed    cassiatally.Instant
+	endpoints   map[cassiatally.NodeID]*report
+	fromAnswers report
 }
 
 type report struct {
@@ -98,16 +101,16 @@
 	c := t.chain(now, work{s, w})
 	for _, load := range loads {
 		if c != nil {
-			c.touch(now, load.Service, t.forget())
+			c.touch(now, load.Service, t.expiry())
 		}
 		if v := t.service(now, load.Service); v != nil {
-			v.learned.smooth(now, load, now.Sub(v.learned.at) <= t.fresh())
+			v.fromAnswers.smooth(now, load, now.Sub(v.fromAnswers.at) <= t.fresh())
 		}
 	}
 }
 
-// Observe records the levels that one endpoint had at an instant. Gossip repeats
-// old reports; only a newer one is news.
+// Observe records the levels that one endpoint had at an instant. Gossip repeats old
+// reports; a report that is not newer than the last one changes nothing.
 func (t *Tracker) Observe(at cassiatally.Instant, n cassiatally.NodeID, load cassiatally.ServiceLoad) {
 	v := t.service(at, load.Service)
 	if v == nil {
@@ -116,7 +119,7 @@
 	r := v.endpoints[n]
 	if r == nil {
 		v.dropStale(at, t.fresh()+t.drift())
-		if len(v.endpoints) >= defaultEndpoints {
+		if len(v.endpoints) >= maxEndpoints {
 			return
 		}
 		r = &report{}
@@ -134,9 +137,9 @@
 	lowest, short := t.Level(now, s, r), s
 	c := t.chains[work{s, w}]
 	if c != nil {
-		c.used = now
+		c.lastUsed = now
 		for touched, seen := range c.touched {
-			if now.Sub(seen) > t.forget() {
+			if now.Sub(seen) > t.expiry() {
 				continue
 			}
 			l := t.Level(now, touched, r)
@@ -152,19 +155,20 @@
 }
 
 // Level returns the level of a service for a rank, as the weighted geometric mean
-// over the endpoints that are known. An endpoint that saw few calls by chance
-// reports too high a level, and one that saw many too low a one; the arithmetic
-// mean of both is above the level that fits. A service without recent reports has level 1.
+// over the endpoints with recent reports. An endpoint that got few calls by chance
+// reports too high a level, and one that got many too low a level; the arithmetic mean
+// of both would be above the level that fits. A service without recent reports has
+// level 1.
 func (t *Tracker) Level(now cassiatally.Instant, s cassiatally.Service, r cassiatally.Rank) cassiatally.Level {
 	v := t.services[s]
 	if v == nil || r >= cassiatally.MaxRanks {
 		return 1
 	}
-	sum, weight := t.aged(now, &v.learned, r)
-	sum *= answersWeight
-	weight *= answersWeight
+	sum, weight := t.weightedLog(now, &v.fromAnswers, r)
+	sum *= answerEndpoints
+	weight *= answerEndpoints
 	for _, e := range v.endpoints {
-		es, ew := t.aged(now, e, r)
+		es, ew := t.weightedLog(now, e, r)
 		sum += es
 		weight += ew
 	}
@@ -174,25 +178,25 @@
 	return cassiatally.Level(min(math.Exp(sum/weight), 1))
 }
 
-// aged returns the weighted level and the weight of a report. Newer reports count
-// more than older ones. The level of a report older than Fresh drifts to 1; at the
-// end of the drift it has no weight.
-func (t *Tracker) aged(now cassiatally.Instant, r *report, rank cassiatally.Rank) (sum, weight float64) {
+// weightedLog returns the weight of a report, and the logarithm of its level times
+// that weight. Newer reports count more than older ones. The level of a report older
+// than Fresh drifts to 1; at the end of the drift it has no weight.
+func (t *Tracker) weightedLog(now cassiatally.Instant, r *report, rank cassiatally.Rank) (sum, weight float64) {
 	if r.weight <= 0 {
 		return 0, 0
 	}
 	level := float64(r.levels[rank])
 	age := now.Sub(r.at)
-	late := age - t.fresh()
-	if late >= t.drift() {
+	drifted := age - t.fresh()
+	if drifted >= t.drift() {
 		return 0, 0
 	}
-	if late > 0 {
-		level += (1 - level) * float64(late) / float64(t.drift())
+	if drifted > 0 {
+		level += (1 - level) * float64(drifted) / float64(t.drift())
 	}
-	ratio := float64(age) / float64(halfAge)
+	ratio := float64(age) / float64(halfWeightAge)
 	weight = r.weight / (1 + ratio*ratio*ratio*ratio)
-	return math.Log(max(level, leastLevel)) * weight, weight
+	return math.Log(max(level, minLevel)) * weight, weight
 }
 
 func (r *report) set(now cassiatally.Instant, load cassiatally.ServiceLoad) {
@@ -208,11 +212,11 @@
 		r.set(now, load)
 		return
 	}
-	weight := max(learnedWeight, 1-math.Exp(-float64(now.Sub(r.at))/float64(learnedTime)))
+	weight := max(answerWeight, 1-math.Exp(-float64(now.Sub(r.at))/float64(answerSmoothing)))
 	r.at = now
 	r.weight += weight * (max(load.Weight, 1) - r.weight)
 	for i := range r.levels {
-		from, to := max(r.levels[i], leastLevel), max(levelAt(load.Levels, i), leastLevel)
+		from, to := max(r.levels[i], minLevel), max(levelAt(load.Levels, i), minLevel)
 		if from == to {
 			continue // most levels are 1 most of the time
 		}
@@ -228,14 +232,14 @@
 	return min(max(levels[i], 0), 1)
 }
 
-func (c *chain) touch(now cassiatally.Instant, s cassiatally.Service, forget time.Duration) {
-	if _, ok := c.touched[s]; !ok && len(c.touched) >= defaultMaxTouch {
+func (c *chain) touch(now cassiatally.Instant, s cassiatally.Service, expiry time.Duration) {
+	if _, ok := c.touched[s]; !ok && len(c.touched) >= maxTouched {
 		for old, seen := range c.touched {
-			if now.Sub(seen) > forget {
+			if now.Sub(seen) > expiry {
 				delete(c.touched, old)
 			}
 		}
-		if len(c.touched) >= defaultMaxTouch {
+		if len(c.touched) >= maxTouched {
 			return
 		}
 	}
@@ -243,7 +247,7 @@
 }
 
 func (v *service) dropStale(now cassiatally.Instant, age time.Duration) {
-	if len(v.endpoints) < defaultEndpoints {
+	if len(v.endpoints) < maxEndpoints {
 		return
 	}
 	for n, r := range v.endpoints {
@@ -259,25 +263,25 @@
 		if t.chains == nil {
 			t.chains = make(map[work]*chain)
 		}
-		if len(t.chains) >= orInt(t.MaxKinds, defaultMaxKinds) && !t.sweepChains(now) {
+		if len(t.chains) >= intOr(t.MaxKinds, defaultMaxKinds) && !t.sweepChains(now) {
 			return nil
 		}
 		c = &chain{touched: make(map[cassiatally.Service]cassiatally.Instant)}
 		t.chains[w] = c
 	}
-	c.used = now
+	c.lastUsed = now
 	return c
 }
 
-// sweepChains forgets unused pairs and reports whether there is room now.
+// sweepChains evicts expired pairs and reports whether there is room now.
 func (t *Tracker) sweepChains(now cassiatally.Instant) bool {
-	if t.chainsSwept != 0 && now.Sub(t.chainsSwept) < sweepPeriod {
+	if t.chainsSweptAt != 0 && now.Sub(t.chainsSweptAt) < sweepPeriod {
 		return false
 	}
-	t.chainsSwept = now
+	t.chainsSweptAt = now
 	before := len(t.chains)
 	for w, c := range t.chains {
-		if now.Sub(c.used) > t.forget() {
+		if now.Sub(c.lastUsed) > t.expiry() {
 			delete(t.chains, w)
 		}
 	}
@@ -290,44 +294,44 @@
 		if t.services == nil {
 			t.services = make(map[cassiatally.Service]*service)
 		}
-		if len(t.services) >= orInt(t.MaxServices, defaultServices) && !t.sweepServices(now) {
+		if len(t.services) >= intOr(t.MaxServices, defaultMaxServices) && !t.sweepServices(now) {
 			return nil
 		}
 		v = &service{endpoints: make(map[cassiatally.NodeID]*report)}
 		t.services[s] = v
 	}
-	v.used = max(v.used, now)
+	v.lastUsed = max(v.lastUsed, now)
 	return v
 }
 
 func (t *Tracker) sweepServices(now cassiatally.Instant) bool {
-	if t.servicesSwept != 0 && now.Sub(t.servicesSwept) < sweepPeriod {
+	if t.servicesSweptAt != 0 && now.Sub(t.servicesSweptAt) < sweepPeriod {
 		return false
 	}
-	t.servicesSwept = now
+	t.servicesSweptAt = now
 	before := len(t.services)
 	for s, v := range t.services {
-		if now.Sub(v.used) > t.forget() {
+		if now.Sub(v.lastUsed) > t.expiry() {
 			delete(t.services, s)
 		}
 	}
 	return len(t.services) < before
 }
 
-func (t *Tracker) fresh() time.Duration  { return orDuration(t.Fresh, defaultFresh) }
-func (t *Tracker) drift() time.Duration  { return orDuration(t.Drift, defaultDrift) }
-func (t *Tracker) forget() time.Duration { return orDuration(t.Forget, defaultForget) }
+func (t *Tracker) fresh() time.Duration  { return durationOr(t.Fresh, defaultFresh) }
+func (t *Tracker) drift() time.Duration  { return durationOr(t.Drift, defaultDrift) }
+func (t *Tracker) expiry() time.Duration { return durationOr(t.Expiry, defaultExpiry) }
 
-func orDuration(v, otherwise time.Duration) time.Duration {
+func durationOr(v, fallback time.Duration) time.Duration {
 	if v > 0 {
 		return v
 	}
-	return otherwise
+	return fallback
 }
 
-func orInt(v, otherwise int) int {
+func intOr(v, fallback int) int {
 	if v > 0 {
 		return v
 	}
-	return otherwise
+	return fallback
 }
--- a/cassiatally/loadtracker/loadtracker_test.go
+++ b/cassiatally/loadtracker/loadtracker_test.go
@@ -15,8 +15,8 @@
 	return cassiatally.ServiceLoad{Service: s, Weight: weight, Levels: levels}
 }
 
-// Guards against requests that enter a chain which a deep service cannot finish,
-// and against refusals for services that the request does not touch.
+// Guards against admitting a request into a chain that a service further down cannot
+// finish, and against refusals because of services that the request does not touch.
 func TestAdmit(t *testing.T) {
 	t0 := &loadtracker.Tracker{}
 	t0.Learn(0, "booking", "confirm", []cassiatally.ServiceLoad{load("booking", 10, 1, 0.8), load("depot", 10, 1, 0.5), load("avail", 10, 0.9, 0.3)})
@@ -37,8 +37,8 @@
 		{"rank without reports", "confirm", 5, 0.99, true, ""},
 		{"rank beyond the last", "confirm", 200, 0.99, true, ""},
 		{"work that does not touch the short service", "view", 1, 0.7, true, ""},
-		{"work that is not known", "cancel", 1, 0.79, true, ""},
-		{"work that is not known at a short service", "cancel", 1, 0.81, false, "booking"},
+		{"unknown work", "cancel", 1, 0.79, true, ""},
+		{"unknown work at a short service", "cancel", 1, 0.81, false, "booking"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -50,8 +50,8 @@
 	}
 }
 
-// Guards against one small or silent endpoint that stands for a whole service,
-// and against levels that outlive their reports.
+// Guards against a service level that a single small or silent endpoint determines, and
+// against levels that stay in force after their reports have become stale.
 func TestLevel(t *testing.T) {
 	const service = cassiatally.Service("avail")
 	cases := []struct {
@@ -62,7 +62,7 @@
 		{"weighted over endpoints", 0, 0.3395}, // 0.25^(3/4) * 0.85^(1/4)
 		{"fresh for two seconds", 2 * time.Second, 0.3395},
 		{"halfway back to 1", 2500 * time.Millisecond, 0.6894}, // 0.625^(3/4) * 0.925^(1/4)
-		{"forgotten", 3 * time.Second, 1},
+		{"expired", 3 * time.Second, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -76,8 +76,8 @@
 	}
 }
 
-// Guards against an endpoint that stopped reporting and holds the level up while
-// the others are short.
+// Guards against an endpoint that has stopped reporting and keeps the level high while
+// the others are short of capacity.
 func TestSilentEndpointLosesItsWeight(t *testing.T) {
 	is := is.New(t)
 	l := &loadtracker.Tracker{}
@@ -87,7 +87,7 @@
 	is.Equal(l.Level(later, "avail", 0), cassiatally.Level(0.2))
 }
 
-// Guards against gossip that is almost a second old and hides what answers say.
+// Guards against gossip that is almost a second old and outweighs the levels in answers.
 func TestAnswersOutweighOldGossip(t *testing.T) {
 	is := is.New(t)
 	l := &loadtracker.Tracker{}
@@ -101,7 +101,7 @@
 	is.True(l.Level(later, "avail", 0) < 0.2)
 }
 
-// Guards against a single answer of one endpoint that sets the level of a
+// Guards against a single answer of one endpoint that determines the level of a
 // service.
 func TestAnswersAreSmoothed(t *testing.T) {
 	is := is.New(t)
@@ -119,7 +119,7 @@
 
 // Guards against an entry with few answers that goes on refusing long after the
 // endpoints have recovered.
-func TestFewAnswersCountMore(t *testing.T) {
+func TestFewAnswersHaveMoreWeight(t *testing.T) {
 	const pause = 100 * time.Millisecond
 	is := is.New(t)
 	l := &loadtracker.Tracker{}
@@ -132,9 +132,9 @@
 	is.True(l.Level(now, "avail", 0) > 0.95)
 }
 
-// Guards against an entry that learns late that a service has recovered: at a low
-// level few requests pass, so few answers come, while gossip repeats old levels.
-func TestFewAnswersTellARecovery(t *testing.T) {
+// Guards against an entry that detects late that a service has recovered: at a low level
+// few requests pass, so few answers arrive, while gossip repeats old levels.
+func TestFewAnswersShowARecovery(t *testing.T) {
 	const apart, most = 250 * time.Millisecond, time.Second
 	is := is.New(t)
 	l := &loadtracker.Tracker{}
@@ -152,9 +152,9 @@
 	is.True(now.Sub(0) <= most)
 }
 
-// Guards against services that a kind of work no longer touches and that go on
-// refusing it.
-func TestForgetsServicesNoLongerTouched(t *testing.T) {
+// Guards against refusing a kind of work because of the level of a service that it no
+// longer touches.
+func TestExpiresServicesNoLongerTouched(t *testing.T) {
 	is := is.New(t)
 	l := &loadtracker.Tracker{}
 	l.Learn(0, "booking", "confirm", []cassiatally.ServiceLoad{load("booking", 1, 1), load("avail", 1, 0.1)})
@@ -165,8 +165,8 @@
 	is.True(ok)
 }
 
-// Guards against memory that grows with what callers ask for, and against full
-// tables that never take anything new.
+// Guards against memory that grows with the names in the requests of callers, and
+// against full tables that never accept a new entry.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
 	l := &loadtracker.Tracker{MaxKinds: 10, MaxServices: 10}
