--- a/cassiatally/budgeter/budgeter_test.go
+++ b/cassiatally/budgeter/budgeter_test.go
@@ -12,7 +12,8 @@
 
 var pair = cassiatally.ServicePair{From: "booking-svc", To: "avail-svc"}
 
-// load sends successes per second for d and takes as many retries as it can.
+// load records rate successes per second for d, takes as many retries as it can, and
+// returns their number.
 func load(b *budgeter.Budgeter, from cassiatally.Instant, d time.Duration, rate int, level cassiatally.Level) (taken int) {
 	gap := time.Second / time.Duration(rate)
 	for now := from; now.Before(from.Add(d)); now = now.Add(gap) {
@@ -24,8 +25,8 @@
 	return taken
 }
 
-// Guards against retries that multiply the load, and against a budget that gives
-// none where there is room.
+// Guards against retries that multiply the load, and against a budget that allows none
+// while the target has capacity.
 func TestRate(t *testing.T) {
 	const d = 100 * time.Second
 	cases := []struct {
@@ -49,8 +50,8 @@
 	}
 }
 
-// Guards against tokens that are saved up without bound, and against tokens that
-// survive a shortage of the target: both end in a burst of retries.
+// Guards against tokens that are saved without bound, and against tokens that are kept
+// through a shortage of the target: both end in a burst of retries.
 func TestSavings(t *testing.T) {
 	is := is.New(t)
 	b := &budgeter.Budgeter{}
@@ -70,9 +71,9 @@
 	is.True(b.Take(later.Add(time.Second), pair, 0, 1))
 }
 
-// Guards against callers that are told unknown because the endpoint of their
-// requests was lost while the service is short, and against retries without bound
-// when endpoints are lost again and again.
+// Guards against callers that get an unknown outcome because the endpoint of their
+// requests was lost while the service is short of capacity, and against retries without
+// bound when endpoints are lost repeatedly.
 func TestLostRuns(t *testing.T) {
 	is := is.New(t)
 	takeAll := func(b *budgeter.Budgeter, now cassiatally.Instant) (taken int) {
@@ -100,10 +101,10 @@
 	most := takeAll(saved, cassiatally.Instant(time.Minute))
 	is.True(most >= 200) // the successes of a second
 	is.True(most <= 220)
-	is.True(saved.Take(cassiatally.Instant(time.Minute), pair, 0, 1)) // the other budget is left
+	is.True(saved.Take(cassiatally.Instant(time.Minute), pair, 0, 1)) // the other bucket is unchanged
 }
 
-// Guards against memory that grows with the pairs, and against pairs that take
+// Guards against memory that grows with the number of pairs, and against pairs that use
 // each other's tokens.
 func TestPairs(t *testing.T) {
 	is := is.New(t)
@@ -114,7 +115,7 @@
 	is.True(b.Take(0, to("b"), 0, 1))
 	is.True(!b.Take(0, to("c"), 0, 1)) // beyond the bound
 	later := cassiatally.Instant(2 * time.Minute)
-	is.True(b.Take(later, to("c"), 0, 1)) // idle pairs are forgotten
+	is.True(b.Take(later, to("c"), 0, 1)) // idle pairs are evicted
 }
 
 // Guards against a call tree that spends more retries than its root has.
@@ -124,25 +125,25 @@
 	first, second, third := a.Grant(), a.Grant(), a.Grant()
 	is.Equal([]cassiatally.RetryCount{first, second, third}, []cassiatally.RetryCount{1, 1, 0})
 	is.True(!a.Spend())
-	a.Settle(first, 0)
-	is.True(a.Spend()) // what a child did not spend comes back
-	a.Settle(second, 9)
-	a.Settle(third, 9)
-	is.Equal(a.Left(), cassiatally.RetryCount(0))
+	a.Release(first, 0)
+	is.True(a.Spend()) // retries that a child did not spend are available again
+	a.Release(second, 9)
+	a.Release(third, 9)
+	is.Equal(a.Remaining(), cassiatally.RetryCount(0))
 	is.Equal(a.Spent(), cassiatally.RetryCount(2))
 }
 
-// Guards against children in sequence that find the budget gone although nothing
-// was spent.
+// Guards against sequential children that use up the budget although none of them spent
+// a retry.
 func TestAllotmentInSequence(t *testing.T) {
 	is := is.New(t)
 	a := budgeter.NewAllotment(2)
 	for range 100 {
 		granted := a.Grant()
 		is.Equal(granted, cassiatally.RetryCount(1))
-		a.Settle(granted, 0)
+		a.Release(granted, 0)
 	}
-	is.Equal(a.Left(), cassiatally.RetryCount(2))
+	is.Equal(a.Remaining(), cassiatally.RetryCount(2))
 }
 
 func BenchmarkTake(b *testing.B) {
