--- a/cassiatally/windowbudgeter/windowbudgeter.go
+++ b/cassiatally/windowbudgeter/windowbudgeter.go
@@ -1,9 +1,9 @@
-// Package windowbudgeter bounds retries to a part of the requests for a service in
+// Package windowbudgeter bounds retries to a fraction of the requests for a service in
 // any window of time.
 //
-// Each node bounds its own retries by its own requests, so that the fleet as a
-// whole keeps the bound without agreeing on anything. A request that is sent
-// because a run further up was repeated counts as a retry too.
+// Each node bounds its own retries by its own requests, so that the fleet as a whole
+// keeps the bound without coordination. A request that is sent because a run further
+// up the call chain was repeated counts as a retry too.
 //
 // # Usage
 //
@@ -23,27 +23,28 @@
 )
 
 const (
-	// slots divide the window. Requests and retries of the slot that is under way
-	// count in full.
-	slots         = 10
+	// slotCount is the number of slots of a window. Requests and retries of the current
+	// slot count in full.
+	slotCount     = 10
 	defaultWindow = 10 * time.Second
-	// maxServices bounds the services that are remembered.
+	// maxServices bounds the services that have an account. Others get no retries.
 	maxServices = 1024
-	// shortBelow is the level below which a service is short of capacity. Retries
-	// into it would take room from first tries.
-	shortBelow = 0.9
-	// othersPart is the part of the retries that requests of less than the most urgent
-	// rank may use. Calls of long chains need so many that they leave none, when all
-	// endpoints of a service refuse half of what they get, and are served no better.
-	othersPart = 0.5
+	// shortageLevel is the level below which a service is short of capacity. Retries
+	// would take capacity from first attempts.
+	shortageLevel = 0.9
+	// lessUrgentFraction is the fraction of the retries that ranks below the most urgent
+	// one may use. When all endpoints of a service refuse half of what they get, calls of
+	// long chains need so many retries that they would leave none, and are served no
+	// better with them.
+	lessUrgentFraction = 0.5
 )
 
 // Budgeter bounds the retries of one node.
 type Budgeter struct {
-	// Ratio is the part of the requests for a service in a window that may be
-	// retried.
+	// Ratio is the number of retries that are allowed in a window, as a fraction of the
+	// requests for the service in it.
 	Ratio float64
-	// Slack is the number of retries in a window that are allowed besides.
+	// Slack is the number of retries that are allowed in a window in addition.
 	Slack float64
 	// Window is the span in which retries are bounded; 0 means 10 s.
 	Window time.Duration
@@ -51,58 +52,58 @@
 	services map[cassiatally.Service]*account
 }
 
-// account counts the requests and retries of a window, by slot.
+// account counts the requests and retries of a service in a window, by slot.
 type account struct {
 	slot              int64
-	requests, retries [slots]float64
+	requests, retries [slotCount]float64
 }
 
 var _ cassiatally.RetryBudget = (*Budgeter)(nil)
 
-// Requested counts the first send of a request. A repeated one belongs to a run that
-// was repeated further up.
+// Requested counts the first send of a request, or a retry if the request is repeated
+// because a run further up the call chain was.
 func (b *Budgeter) Requested(now cassiatally.Instant, p cassiatally.ServicePair, repeated bool) {
-	a := b.account(now, p.To)
+	a := b.accountOf(now, p.To)
 	if a == nil {
 		return
 	}
 	if repeated {
-		a.retries[a.slot%slots]++
+		a.retries[a.slot%slotCount]++
 		return
 	}
-	a.requests[a.slot%slots]++
+	a.requests[a.slot%slotCount]++
 }
 
-// Succeeded changes nothing, since requests pay for retries whether they succeed
-// or not.
+// Succeeded changes nothing, since requests count whether they succeed or not.
 func (b *Budgeter) Succeeded(cassiatally.Instant, cassiatally.ServicePair) {}
 
 // Take reports whether a retry may be sent and counts it if so.
 func (b *Budgeter) Take(now cassiatally.Instant, p cassiatally.ServicePair, r cassiatally.Rank, level cassiatally.Level) bool {
-	part := othersPart
+	fraction := lessUrgentFraction
 	if r == 0 {
-		part = 1
+		fraction = 1
 	}
-	return level >= shortBelow && b.take(now, p, part)
+	return level >= shortageLevel && b.takeRetry(now, p, fraction)
 }
 
-// TakeLost does the same for a request whose endpoint was lost, also when the
-// service is short.
+// TakeLost does the same for a request whose endpoint was lost, also when the service
+// is short of capacity, and may use all retries at any rank.
 func (b *Budgeter) TakeLost(now cassiatally.Instant, p cassiatally.ServicePair) bool {
-	return b.take(now, p, 1)
+	return b.takeRetry(now, p, 1)
 }
 
-// take counts a retry if, with it, no more than a part of those allowed are used.
-func (b *Budgeter) take(now cassiatally.Instant, p cassiatally.ServicePair, part float64) bool {
-	a := b.account(now, p.To)
-	if a == nil || sum(a.retries)+1 > part*(b.Ratio*sum(a.requests)+b.Slack) {
+// takeRetry counts a retry and returns true, unless the retry would exceed that fraction
+// of the allowed ones.
+func (b *Budgeter) takeRetry(now cassiatally.Instant, p cassiatally.ServicePair, fraction float64) bool {
+	a := b.accountOf(now, p.To)
+	if a == nil || sum(a.retries)+1 > fraction*(b.Ratio*sum(a.requests)+b.Slack) {
 		return false
 	}
-	a.retries[a.slot%slots]++
+	a.retries[a.slot%slotCount]++
 	return true
 }
 
-func sum(counts [slots]float64) float64 {
+func sum(counts [slotCount]float64) float64 {
 	total := 0.0
 	for _, n := range counts {
 		total += n
@@ -110,13 +111,14 @@
 	return total
 }
 
-// account returns the counts of a service with the slots before the window cleared.
-func (b *Budgeter) account(now cassiatally.Instant, s cassiatally.Service) *account {
+// accountOf returns the account of a service, after clearing the slots that are no
+// longer in the window. It returns nil if there are too many services.
+func (b *Budgeter) accountOf(now cassiatally.Instant, s cassiatally.Service) *account {
 	window := b.Window
 	if window <= 0 {
 		window = defaultWindow
 	}
-	slot := int64(time.Duration(now) / (window / slots))
+	slot := int64(time.Duration(now) / (window / slotCount))
 	a := b.services[s]
 	if a == nil {
 		if b.services == nil {
@@ -128,8 +130,8 @@
 		a = &account{slot: slot}
 		b.services[s] = a
 	}
-	for past := max(a.slot+1, slot-slots+1); past <= slot; past++ {
-		a.requests[past%slots], a.retries[past%slots] = 0, 0
+	for past := max(a.slot+1, slot-slotCount+1); past <= slot; past++ {
+		a.requests[past%slotCount], a.retries[past%slotCount] = 0, 0
 	}
 	a.slot = max(a.slot, slot)
 	return a
--- a/cassiatally/windowbudgeter/windowbudgeter_test.go
+++ b/cassiatally/windowbudgeter/windowbudgeter_test.go
@@ -12,7 +12,8 @@
 
 const (
 	ratio = 0.16
-	// allowed and slack are those of the fleet, for the requests of a window.
+	// allowed is the ratio of retries to requests in a window over the whole fleet, and
+	// slack the retries in addition.
 	allowed = 0.2
 	slack   = 48.0
 	window  = 10 * time.Second
@@ -25,8 +26,9 @@
 	retry bool
 }
 
-// Guards against a fleet whose nodes together retry more than a part of the requests
-// in some window, as after an idle time, at a cut or in a burst.
+// Guards against a fleet whose nodes together retry more than the allowed fraction of
+// requests in some window, for instance after an idle time, during a partition or in a
+// burst.
 func TestFleetKeepsTheBoundInEveryWindow(t *testing.T) {
 	is := is.New(t)
 	const nodes = 16
@@ -68,9 +70,9 @@
 	is.True(len(arrivals) > 0)
 }
 
-// Guards against repeated runs further up whose calls are not counted: they would
-// come on top of the retries of the service itself.
-func TestRepeatsFromAboveCount(t *testing.T) {
+// Guards against requests of repeated runs further up the call chain that don't count
+// as retries: they would exceed the bound together with the retries of the node itself.
+func TestRepeatedRequestsCountAsRetries(t *testing.T) {
 	is := is.New(t)
 	b := &windowbudgeter.Budgeter{Ratio: ratio}
 	now := cassiatally.Instant(time.Hour)
@@ -85,7 +87,7 @@
 }
 
 // Guards against retries into a service that is short of capacity.
-func TestShortServiceGetsNoRetries(t *testing.T) {
+func TestServiceShortOfCapacityGetsNoRetries(t *testing.T) {
 	is := is.New(t)
 	b := &windowbudgeter.Budgeter{Ratio: ratio, Slack: 1}
 	now := cassiatally.Instant(time.Hour)
@@ -95,8 +97,8 @@
 	is.True(b.TakeLost(now.Add(window), pair))
 }
 
-// Guards against the calls of long chains that use up all retries while the most
-// urgent requests, of which one retry is enough, fail.
+// Guards against calls of long chains that use up all retries, so that the most urgent
+// requests fail, for which one retry is enough.
 func TestMostUrgentRankHasRetriesLeft(t *testing.T) {
 	is := is.New(t)
 	b := &windowbudgeter.Budgeter{Ratio: ratio}
