--- a/cassiatally/ring/ring.go
+++ b/cassiatally/ring/ring.go
@@ -1,8 +1,9 @@
-// Package ring provides the bounded queue that joins two duties.
+// Package ring provides the bounded queue between two goroutines that each run
+// one duty.
 //
 // A ring has a stated capacity and one of three policies for when it is full:
 // the sender waits, the newest entry is refused, or the oldest expired entry is
-// dropped to make room. Waiting never spins; it is on a channel.
+// dropped to make room. A waiting goroutine blocks on a channel and never spins.
 //
 // # Usage
 //
@@ -15,14 +16,14 @@
 //	for {
 //		select {
 //		case <-inbox.Ready():
-//			for _, e := range inbox.Take(buf[:0]) {
+//			for _, e := range inbox.TakeAll(buf[:0]) {
 //				handle(e)
 //			}
 //		case <-timer.C:
 //		}
 //	}
 //
-// Ready may fire when the ring is already empty; Take then returns nothing.
+// Ready may fire when the ring is already empty; TakeAll then returns nothing.
 package ring
 
 import (
@@ -30,7 +31,7 @@
 	"sync"
 )
 
-// Policy tells what happens when an entry is pushed into a full ring.
+// Policy selects what happens when an entry is pushed into a full ring.
 type Policy uint8
 
 const (
@@ -45,9 +46,11 @@
 
 // Ring is a bounded queue with many senders and one receiver.
 type Ring[T any] struct {
-	// Expired reports whether an entry has lost its worth; used by DropExpired.
+	// Expired reports whether an entry may be dropped unprocessed. Only DropExpired
+	// calls it, under the lock of the ring.
 	Expired func(T) bool
-	// Dropped is called, outside any lock, with each entry that DropExpired drops.
+	// Dropped is called, outside the lock of the ring, with each entry that
+	// DropExpired drops.
 	Dropped func(T)
 
 	policy Policy
@@ -77,13 +80,13 @@
 	}
 }
 
-// Push adds an entry and reports whether it was taken. Only the Wait policy
+// Push adds an entry and reports whether it was accepted. Only the Wait policy
 // blocks.
 func (r *Ring[T]) Push(ctx context.Context, v T) bool {
 	for {
-		taken, wait := r.tryPush(v)
+		accepted, wait := r.tryPush(v)
 		if !wait {
-			return taken
+			return accepted
 		}
 		select {
 		case <-r.room:
@@ -96,7 +99,8 @@
 }
 
 // Offer adds an entry without waiting, whatever the policy, and reports whether
-// it was taken. It leaves reserve places free for senders that use Push.
+// it was accepted. It refuses the entry when fewer than reserve+1 places are
+// free, so that reserve places stay free for senders that use Push.
 func (r *Ring[T]) Offer(v T, reserve int) bool {
 	r.mu.Lock()
 	full := r.n+reserve >= len(r.entries)
@@ -107,11 +111,11 @@
 	if full {
 		return false
 	}
-	taken, _ := r.tryPush(v)
-	return taken
+	accepted, _ := r.tryPush(v)
+	return accepted
 }
 
-func (r *Ring[T]) tryPush(v T) (taken, wait bool) {
+func (r *Ring[T]) tryPush(v T) (accepted, wait bool) {
 	r.mu.Lock()
 	if r.closed {
 		r.mu.Unlock()
@@ -136,8 +140,8 @@
 	r.mu.Unlock()
 	signal(r.ready)
 	if more && r.policy == Wait {
-		// A token in room stands for "there may be room", so the next waiting
-		// sender has to be woken as well.
+		// space holds at most one token and a token wakes one sender, so a sender
+		// that leaves places free wakes the next one.
 		signal(r.room)
 	}
 	if evicted && r.Dropped != nil {
@@ -175,7 +179,8 @@
 // Done returns a channel that is closed by Close.
 func (r *Ring[T]) Done() <-chan struct{} { return r.done }
 
-// Take appends all entries to buf and returns it.
+// TakeAll removes all entries, appends them to buf in order and returns the
+// extended slice.
 func (r *Ring[T]) Take(buf []T) []T {
 	r.mu.Lock()
 	var zero T
@@ -184,10 +189,10 @@
 		r.entries[r.head] = zero
 		r.head = (r.head + 1) % len(r.entries)
 	}
-	took := r.n > 0
+	removed := r.n > 0
 	r.n = 0
 	r.mu.Unlock()
-	if took && r.policy == Wait {
+	if removed && r.policy == Wait {
 		signal(r.room)
 	}
 	return buf
@@ -233,8 +238,8 @@
 	return v, true, false
 }
 
-// Close refuses all further entries. Entries already taken in can still be
-// received.
+// Close makes the ring refuse all further entries. Entries that were accepted
+// before can still be received.
 func (r *Ring[T]) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -252,7 +257,7 @@
 	return r.n
 }
 
-// Lost returns how many entries were refused and how many were dropped.
+// LossCounts returns how many entries were refused and how many were dropped.
 func (r *Ring[T]) Lost() (refused, dropped uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/cassiatally/ring/ring_test.go
+++ b/cassiatally/ring/ring_test.go
@@ -28,13 +28,14 @@
 	is.Equal(next, 10)
 }
 
-// Guards against a full ring that grows or drops without a trace.
+// Guards against a full ring that exceeds its capacity, or that refuses or drops
+// an entry without counting it.
 func TestFullRing(t *testing.T) {
 	cases := []struct {
 		name     string
 		policy   ring.Policy
 		expired  func(int) bool
-		taken    bool
+		accepted bool
 		contents []int
 		refused  uint64
 		dropped  uint64
@@ -50,7 +51,7 @@
 			r.Expired = c.expired
 			r.Push(context.Background(), 1)
 			r.Push(context.Background(), 2)
-			is.Equal(r.Push(context.Background(), 3), c.taken)
+			is.Equal(r.Push(context.Background(), 3), c.accepted)
 			is.Equal(r.Take(nil), c.contents)
 			refused, dropped := r.Lost()
 			is.Equal(refused, c.refused)
@@ -96,7 +97,7 @@
 	is.Equal(total, senders*each)
 }
 
-// Guards against a close that loses what was already accepted.
+// Guards against a Close that discards entries accepted before it.
 func TestCloseKeepsAcceptedEntries(t *testing.T) {
 	is := is.New(t)
 	r := ring.New[string](2, ring.RefuseNewest)
