--- a/cassiatally/looper/looper.go
+++ b/cassiatally/looper/looper.go
@@ -1,4 +1,4 @@
-// Package looper runs a duty: one goroutine that owns its state, takes events
+// Package looper runs a duty: one goroutine that owns its state, receives events
 // from a bounded ring and handles timers.
 //
 // # Usage
@@ -8,10 +8,10 @@
 //		Inbox:    ring.New[event](4096, ring.Wait),
 //		Handle:   func(now cassiatally.Instant, e event) { ... },
 //		Tick:     func(now cassiatally.Instant) { ... },
-//		Every:    100 * time.Millisecond,
+//		Interval: 100 * time.Millisecond,
 //		NextWake: router.NextWake, // optional
 //	}
-//	l.Run()
+//	l.Start()
 //	defer l.Close()
 //
 // Handle and Tick are called by the duty's goroutine only.
@@ -28,12 +28,13 @@
 // minWait bounds how often NextWake can wake the duty.
 const minWait = time.Millisecond
 
-// Looper is a duty. Its fields are set before Run.
+// Looper runs one duty. Its fields must not change after Start.
 type Looper[T any] struct {
 	Clock  cassiatally.Clock
 	Inbox  *ring.Ring[T]
 	Handle func(now cassiatally.Instant, event T)
-	// Tick is called at multiples of Every, and at NextWake when that is set.
+	// Tick is called at multiples of Interval, and at the time that NextWake
+	// returns when NextWake is set.
 	Tick     func(now cassiatally.Instant)
 	Every    time.Duration
 	NextWake func() (cassiatally.Instant, bool)
@@ -43,14 +44,13 @@
 	next    cassiatally.Instant
 }
 
-// Run starts the goroutine of the duty.
+// Start starts the goroutine of the duty and returns.
 func (l *Looper[T]) Run() {
 	l.next = l.nextTick(l.Clock.Now())
 	l.running.Go(l.loop)
 }
 
-// Close refuses further events and waits until those already taken in are
-// handled.
+// Close refuses further events and waits until the accepted ones are handled.
 func (l *Looper[T]) Close() {
 	l.Inbox.Close()
 	l.running.Wait()
@@ -96,8 +96,8 @@
 	return max(wake.Sub(l.Clock.Now()), minWait)
 }
 
-// nextTick returns the next multiple of Every. The duties of a process tick
-// together, so that it wakes up once for all of them.
+// nextTick returns the next multiple of Interval. Duties with the same interval
+// then tick at the same time, so that the process wakes up once for all of them.
 func (l *Looper[T]) nextTick(now cassiatally.Instant) cassiatally.Instant {
 	return now.Add(l.Every - time.Duration(now)%l.Every)
 }
--- a/cassiatally/looper/looper_test.go
+++ b/cassiatally/looper/looper_test.go
@@ -11,11 +11,11 @@
 	"github.com/cassiatally/cassiatally/cassiatally/ring"
 )
 
-// step is what the clock advances with each reading. The duty reads it twice in
-// each turn.
+// step is how far the clock advances with each reading. The loop reads the clock
+// twice in each iteration, so a tick comes less than two steps late.
 const step = time.Millisecond
 
-// jumpClock advances with each reading only.
+// steppingClock advances by one step with each reading and stands still otherwise.
 type jumpClock struct{ now cassiatally.Instant }
 
 func (c *jumpClock) Now() cassiatally.Instant {
@@ -25,11 +25,11 @@
 
 func (c *jumpClock) Wall() time.Time { return time.Time{} }
 
-// Guards against duties that tick at times of their own, so that the process
-// wakes up for each of them.
+// Guards against ticks that are not at multiples of the interval: each duty of the
+// process would then tick at a different time and wake the process separately.
 func TestTicksAtMultiples(t *testing.T) {
 	is := is.New(t)
-	const every = 10 * time.Millisecond
+	const interval = 10 * time.Millisecond
 	ticks := make(chan cassiatally.Instant, 64)
 	l := &looper.Looper[int]{
 		Clock:  &jumpClock{now: cassiatally.Instant(time.Hour + 3*time.Millisecond)},
@@ -41,12 +41,12 @@
 			default:
 			}
 		},
-		Every: every,
+		Every: interval,
 	}
 	l.Run()
 	for range 8 {
 		now := <-ticks
-		is.True(time.Duration(now)%every < 2*step)
+		is.True(time.Duration(now)%interval < 2*step)
 	}
 	l.Close()
 }
