--- a/cassiatally/protocol/bench_test.go
+++ b/cassiatally/protocol/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/cassiatally/cassiatally/cassiatally/protocol"
 )
 
-// BenchmarkGossip measures a round message with 50 beats, every fourth of them
-// with a load.
+// BenchmarkGossip encodes and decodes the gossip message of one round with the
+// heartbeats of 50 members, every fourth of them with a load.
 func BenchmarkGossip(b *testing.B) {
 	codec, err := protocol.New()
 	if err != nil {
@@ -46,8 +46,8 @@
 	})
 }
 
-// BenchmarkRequest has the frames of a call and its answer as the barrier deployment
-// sends them, and reports their bytes beside the bodies.
+// BenchmarkRequest encodes and decodes a call and its answer as the barrier
+// deployment sends them, and reports the bytes of both frames without the bodies.
 func BenchmarkRequest(b *testing.B) {
 	c, err := protocol.New()
 	if err != nil {
--- a/cassiatally/protocol/codec.go
+++ b/cassiatally/protocol/codec.go
@@ -1,6 +1,6 @@
 // Package protocol encodes the messages between nodes. A frame is one binary
 // WebSocket message that holds a CBOR array of version, message type and body.
-// The package takes no decisions; docs/protocol.md lists the frames.
+// The package only encodes and decodes; docs/protocol.md lists the frames.
 //
 // # Usage
 //
@@ -9,7 +9,7 @@
 //	message, err := codec.Decode(frame)
 //
 // Decode returns an Error of KindProtocol for malformed frames, KindTooLarge for
-// frames over MaxFrame and KindUnsupportedVersion for other versions.
+// frames over MaxFrameBytes and KindUnsupportedVersion for other versions.
 package protocol
 
 import (
@@ -21,10 +21,11 @@
 const (
 	// Version is the version of the protocol that Encode writes.
 	Version = 1
-	// MaxFrame bounds a frame, in bytes: a body and its envelope.
+	// MaxFrameBytes bounds a frame: a body and its envelope.
 	MaxFrame = cassiatally.MaxBody + 64<<10
 
-	// arrayOfThree begins a CBOR array of three elements. Numbers below 24 are one byte.
+	// arrayOfThree is the first byte of a CBOR array of three elements. The version
+	// and the message type follow as one byte each, as CBOR encodes numbers below 24.
 	arrayOfThree = 0x83
 	frameHeader  = 3
 
@@ -76,8 +77,8 @@
 	if err != nil {
 		return nil, cassiatally.NewError(cassiatally.KindInternal, "encode %T: %v", m, err)
 	}
-	// The three elements of the frame, of which the first two are numbers of one byte;
-	// to marshal them around the body would copy and check it once more.
+	// The frame is put together by hand: its first two elements are numbers of one
+	// byte, and marshalling the array would copy and check the body once more.
 	out := make([]byte, 0, frameHeader+len(body))
 	out = append(out, arrayOfThree, Version, byte(t))
 	out = append(out, body...)
@@ -97,7 +98,7 @@
 		return nil, cassiatally.NewError(cassiatally.KindProtocol, "malformed frame: %v", err)
 	}
 	if f.Version != Version {
-		return nil, cassiatally.NewError(cassiatally.KindUnsupportedVersion, "frame has version %d, this node speaks %d", f.Version, Version)
+		return nil, cassiatally.NewError(cassiatally.KindUnsupportedVersion, "frame has version %d, this node supports %d", f.Version, Version)
 	}
 	decode, ok := decoders[f.Type]
 	if !ok {
--- a/cassiatally/protocol/codec_test.go
+++ b/cassiatally/protocol/codec_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// Guards against a field that one end writes and the other does not read.
-func TestEveryMessageSurvivesTheWire(t *testing.T) {
+// Guards against a field that Encode leaves out or Decode does not read back.
+func TestMessagesRoundTrip(t *testing.T) {
 	c, err := protocol.New()
 	is.New(t).NoErr(err)
 	for _, m := range messages() {
@@ -72,8 +72,8 @@
 	}
 }
 
-// Guards against a malformed frame that is taken for a message or reported
-// without saying what is wrong with it.
+// Guards against a malformed frame that is decoded to a message, or refused with
+// an error of another kind.
 func TestMalformedFrames(t *testing.T) {
 	encode := func(v any) []byte {
 		b, err := cbor.Marshal(v)
--- a/cassiatally/protocol/types.go
+++ b/cassiatally/protocol/types.go
@@ -6,14 +6,15 @@
 	"github.com/cassiatally/cassiatally/cassiatally"
 )
 
-// messageType numbers the messages; the numbers never change their meaning.
+// messageType is the number of a kind of message on the wire. A number never
+// changes its meaning.
 type messageType uint8
 
 const (
 	typeNone messageType = iota
 	typeHello
 	typePing
-	_ // 3 was an answer to typePing
+	_ // 3 was an answer to typePing and stays unused
 	typeCall
 	typeAnswer
 	typeCancel
