--- a/cassiatally/settingsloader/kinds.go
+++ b/cassiatally/settingsloader/kinds.go
@@ -35,7 +35,8 @@
 	return "0B"
 }
 
-// Data centre names are parts of keys, whose separator is the full stop.
+// namePattern excludes the full stop, which separates the parts of a key: the
+// name of the data centre is one of them.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_-]{0,62}$`)
 
 func name[T ~string]() kind[T] {
@@ -67,7 +68,7 @@
 	}
 }
 
-func parseAddress(value string, minPort uint16) (a cassiatally.Address, wrong string) {
+func parseAddress(value string, minPort uint16) (a cassiatally.Address, message string) {
 	parsed, err := netip.ParseAddrPort(value)
 	if err == nil && parsed.Port() >= minPort {
 		return cassiatally.Address(parsed.String()), ""
@@ -86,7 +87,7 @@
 	return err == nil && parsed.Addr().IsUnspecified()
 }
 
-// kernelPort reports whether the kernel chooses the port.
+// hasKernelPort reports whether the port is 0, so that the kernel chooses it.
 func kernelPort(a cassiatally.Address) bool {
 	parsed, err := netip.ParseAddrPort(string(a))
 	return err == nil && parsed.Port() == 0
@@ -100,8 +101,8 @@
 			if !found {
 				return "", fmt.Sprintf("%q does not start with %s", value, scheme)
 			}
-			a, wrong := parseAddress(rest, 1)
-			return scheme + string(a), wrong
+			a, message := parseAddress(rest, 1)
+			return scheme + string(a), message
 		},
 		print: quote,
 		right: "write http:// with an IP number and a port, such as http://10.1.2.3:7500",
@@ -219,6 +220,6 @@
 	}
 }
 
-// quote writes a text that YAML cannot take for a number or a boolean, such as
-// the control mode off.
+// quote returns the text in double quotes, so that YAML does not read it as a
+// number or a boolean. Without quotes the control mode off is a boolean.
 func quote(s string) string { return strconv.Quote(s) }
--- a/cassiatally/settingsloader/loader.go
+++ b/cassiatally/settingsloader/loader.go
@@ -1,6 +1,6 @@
 // Package settingsloader reads the settings of a node from YAML. It refuses
 // unknown keys and reports all problems at once, each with its line, its column,
-// what is wrong and what would be right. Values carry their units: 250ms, 64MiB.
+// what is wrong and how to correct it. Values carry their units: 250ms, 64MiB.
 //
 // # Usage
 //
@@ -11,8 +11,8 @@
 //	}
 //	fmt.Print(settings.Describe())
 //
-// The error has KindInvalidSettings. Settings gives the keys and their defaults;
-// the folder examples has an annotated file for each deployment.
+// The error has KindInvalidSettings. Type Settings documents the keys and their
+// defaults; the folder examples has an annotated file for each deployment.
 package settingsloader
 
 import (
@@ -29,18 +29,18 @@
 	"github.com/cassiatally/cassiatally/cassiatally"
 )
 
-// Loader reads settings.
+// Loader reads settings from the content of one file.
 type Loader struct {
-	// File is the name that problems are reported under.
+	// File is the file name at the start of each reported problem.
 	File string
 }
 
-// Problem is one fault of a settings file.
+// Problem is one error in a settings file.
 type Problem struct {
 	Line, Column int
 	// Key is the path of the key, such as listen.links.
 	Key string
-	// Wrong says what is wrong, and Right what would be right.
+	// Message says what is wrong, and Fix how to correct it.
 	Wrong, Right string
 }
 
@@ -58,7 +58,8 @@
 	return Settings{}, cassiatally.NewError(cassiatally.KindInvalidSettings, "%s", strings.Join(lines, "\n"))
 }
 
-// Check returns the settings in data and every problem, in the order of lines.
+// Check returns the settings in data and every problem, ordered by line and
+// column. The settings are valid only when there is no problem.
 func Check(data []byte) (Settings, []Problem) {
 	r := reader{settings: Defaults(), places: map[string]place{}}
 	file, err := parser.ParseBytes(data, 0, parser.AllowDuplicateMapKey())
@@ -81,7 +82,7 @@
 	return r.settings, r.problems
 }
 
-// place is where a key stands in the file, from 1.
+// position is a line and a column of the file, both from 1.
 type place struct{ line, column int }
 
 var start = place{1, 1}
@@ -100,19 +101,19 @@
 	problems []Problem
 }
 
-func (r *reader) problem(at place, key, wrong, right string) {
-	r.problems = append(r.problems, Problem{at.line, at.column, key, wrong, right})
+func (r *reader) problem(at place, key, message, fix string) {
+	r.problems = append(r.problems, Problem{at.line, at.column, key, message, fix})
 }
 
 func (r *reader) syntax(err error) {
-	const right = "correct the YAML at this place"
+	const fix = "correct the YAML at this place"
 	var syntax *yaml.SyntaxError
 	if errors.As(err, &syntax) {
-		r.problem(placeOf(syntax.Token), "file", syntax.Message, right)
+		r.problem(placeOf(syntax.Token), "file", syntax.Message, fix)
 		return
 	}
 	message, _, _ := strings.Cut(err.Error(), "\n")
-	r.problem(start, "file", message, right)
+	r.problem(start, "file", message, fix)
 }
 
 func (r *reader) file(f *ast.File) {
@@ -128,7 +129,8 @@
 	}
 }
 
-// mapping reads the keys below prefix, which is empty or a section.
+// readMapping reads the keys below prefix, which is empty or a section with a
+// full stop.
 func (r *reader) mapping(prefix string, n ast.Node) {
 	entries, ok := entriesOf(n)
 	if !ok {
@@ -163,7 +165,7 @@
 		r.problem(at, key, "this key is unknown", "use one of "+strings.Join(keysBelow(prefix), ", "))
 		return
 	}
-	if first, twice := r.places[key]; twice {
+	if first, duplicate := r.places[key]; duplicate {
 		r.problem(at, key, fmt.Sprintf("the key is already on line %d", first.line), "keep one of them")
 		return
 	}
@@ -180,14 +182,14 @@
 
 func (r *reader) value(f *field, n ast.Node) {
 	text, ok := scalar(n)
-	wrong, right := f.set(&r.settings, text)
+	message, fix := f.set(&r.settings, text)
 	if !ok {
-		// An empty text gives the advice for the kind of value.
-		_, right = f.set(&Settings{}, "")
-		wrong = "this is not a plain value"
+		// No value format accepts an empty text, so this returns the fix for the key.
+		_, fix = f.set(&Settings{}, "")
+		message = "this is not a plain value"
 	}
-	if wrong != "" {
-		r.problem(placeOf(n.GetToken()), f.path, wrong, right)
+	if message != "" {
+		r.problem(placeOf(n.GetToken()), f.path, message, fix)
 	}
 }
 
@@ -211,9 +213,9 @@
 	}
 	for _, v := range list.Values {
 		text, _ := scalar(v)
-		a, wrong := k.parse(text)
-		if wrong != "" {
-			r.problem(placeOf(v.GetToken()), seedsKey, wrong, k.right)
+		a, message := k.parse(text)
+		if message != "" {
+			r.problem(placeOf(v.GetToken()), seedsKey, message, k.right)
 			continue
 		}
 		r.settings.Seeds = append(r.settings.Seeds, a)
@@ -231,12 +233,12 @@
 		if !found {
 			at = start
 		}
-		_, right := f.set(&Settings{}, "")
-		r.problem(at, f.path, "this key is required", right)
+		_, fix := f.set(&Settings{}, "")
+		r.problem(at, f.path, "this key is required", fix)
 	}
 }
 
-// derive fills in the defaults that other keys determine.
+// deriveDefaults fills in the defaults that depend on other keys.
 func (r *reader) derive() {
 	if r.settings.Advertise.Links == "" && !kernelPort(r.settings.Listen.Links) {
 		r.settings.Advertise.Links = r.settings.Listen.Links
--- a/cassiatally/settingsloader/loader_test.go
+++ b/cassiatally/settingsloader/loader_test.go
@@ -17,7 +17,7 @@
 log: {address: "http://127.0.0.1:3"}
 `
 
-// Guards against example files that fall behind the loader.
+// Guards against example files that the loader no longer accepts.
 func TestExamplesLoad(t *testing.T) {
 	for _, name := range []string{"barrier", "intake"} {
 		t.Run(name, func(t *testing.T) {
@@ -31,8 +31,8 @@
 	}
 }
 
-// Guards against defaults that are lost or differ from the documented figures,
-// and against a description that does not read back.
+// Guards against defaults that are missing or differ from the documented values,
+// and against a description that Load reads back to other settings.
 func TestDefaultsAndDescription(t *testing.T) {
 	is := is.New(t)
 	s, err := settingsloader.Loader{}.Load([]byte(smallest))
@@ -46,13 +46,13 @@
 	is.True(strings.Contains(s.Describe(), "dead_after: 1.5s\n"))
 }
 
-// Guards against faults that are accepted, or reported at the wrong place or
-// without advice.
+// Guards against errors that are accepted, reported at a wrong position, or
+// reported without a fix.
 func TestProblems(t *testing.T) {
 	cases := []struct {
 		name, add    string
 		line, column int
-		key, wrong   string
+		key, message string
 	}{
 		{"unknown section", "listn: {}", 4, 1, "listn", "unknown"},
 		{"unknown key in a section", "gossip:\n  intervall: 1s", 5, 3, "gossip.intervall", "unknown"},
@@ -77,7 +77,7 @@
 			p := problems[0]
 			is.Equal([]int{p.Line, p.Column}, []int{c.line, c.column})
 			is.Equal(p.Key, c.key)
-			is.True(strings.Contains(p.Wrong, c.wrong)) // says what is wrong
+			is.True(strings.Contains(p.Wrong, c.message)) // says what is wrong
 			is.True(p.Right != "")
 		})
 	}
@@ -96,7 +96,7 @@
 	}
 }
 
-// Guards against an advertised address to which nobody can connect.
+// Guards against an advertised link address to which other nodes cannot connect.
 func TestUnspecifiedLinkAddress(t *testing.T) {
 	is := is.New(t)
 	text := strings.Replace(smallest, "127.0.0.1:2", "0.0.0.0:2", 1)
@@ -109,8 +109,8 @@
 	is.Equal(len(problems), 1)
 }
 
-// Guards against panics on malformed files, problems without a place, and
-// settings that are accepted but do not survive their own description.
+// Guards against panics on malformed files, problems without a position, and
+// accepted settings whose description does not load back to the same settings.
 func FuzzLoad(f *testing.F) {
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, problems := settingsloader.Check(data)
--- a/cassiatally/settingsloader/schema.go
+++ b/cassiatally/settingsloader/schema.go
@@ -9,7 +9,7 @@
 
 const (
 	seedsKey = "seeds"
-	// lastBeforeSeeds is the field after which Describe prints the seeds.
+	// keyBeforeSeeds is the key after which Describe prints the seeds.
 	lastBeforeSeeds = "advertise.links"
 
 	maxCount    = 1 << 20
@@ -21,27 +21,27 @@
 	maxStored   = 1 << 30
 )
 
-// field is one key of the file and where its value goes.
+// field is one key of the file and the setting that it stores.
 type field struct {
 	path     string
 	required bool
-	// set stores the value, or returns what is wrong and what would be right.
-	set   func(s *Settings, value string) (wrong, right string)
+	// set stores the value, or returns what is wrong and how to correct it.
+	set   func(s *Settings, value string) (message, fix string)
 	print func(s *Settings) string
 }
 
-// kind is a way to write values of a type.
+// valueFormat parses and prints the values of one type.
 type kind[T any] struct {
-	parse func(value string) (v T, wrong string)
+	parse func(value string) (v T, message string)
 	print func(T) string
 	right string
 }
 
 func keyOf[T any](path string, at func(*Settings) *T, k kind[T]) field {
-	set := func(s *Settings, value string) (wrong, right string) {
-		v, wrong := k.parse(value)
-		if wrong != "" {
-			return wrong, k.right
+	set := func(s *Settings, value string) (message, fix string) {
+		v, message := k.parse(value)
+		if message != "" {
+			return message, k.right
 		}
 		*at(s) = v
 		return "", ""
@@ -89,8 +89,8 @@
 	keyOf("log_level", func(s *Settings) *LogLevel { return &s.LogLevel }, oneOf(LevelDebug, LevelInfo, LevelWarn, LevelError)),
 }
 
-// relation is a rule about two keys. The problem is reported at the first key
-// that the file has.
+// relation is a rule that relates two keys. A violation is reported at the first
+// of paths that is in the file.
 type relation struct {
 	paths []string
 	holds func(s *Settings) bool
@@ -128,7 +128,7 @@
 	return s.Listen.Links
 }
 
-func longer(long, short string, orEqual bool, of func(*Settings) (time.Duration, time.Duration)) relation {
+func longer(long, short string, orEqual bool, durations func(*Settings) (time.Duration, time.Duration)) relation {
 	than := "longer than "
 	if orEqual {
 		than = "no shorter than "
@@ -136,11 +136,11 @@
 	return relation{
 		paths: []string{long, short},
 		holds: func(s *Settings) bool {
-			l, sh := of(s)
+			l, sh := durations(s)
 			return l > sh || (orEqual && l == sh)
 		},
 		wrong: func(s *Settings) string {
-			l, sh := of(s)
+			l, sh := durations(s)
 			return fmt.Sprintf("%s is %s and %s is %s", long, printDuration(l), short, printDuration(sh))
 		},
 		right: "make " + long + " " + than + short,
--- a/cassiatally/settingsloader/settings.go
+++ b/cassiatally/settingsloader/settings.go
@@ -7,14 +7,14 @@
 	"github.com/cassiatally/cassiatally/cassiatally"
 )
 
-// Settings are the settings of one node. The comments give the YAML keys and
-// the defaults; a key without a default is required.
+// Settings are the settings of one node. The comments of the fields give the YAML
+// keys and the defaults; a key without a default is required.
 type Settings struct {
 	Node      Node
 	Listen    Listen
 	Advertise Advertise
-	// Seeds are the link addresses of other nodes, from which a node that starts
-	// learns about all others. Default: none, for the first node.
+	// Seeds are the link addresses of other nodes, from which a starting node gets
+	// the list of all members. Default: none, for the first node.
 	Seeds    []cassiatally.Address
 	Log      Log
 	Control  Control // adaptive
@@ -28,7 +28,7 @@
 	LogLevel LogLevel // info
 }
 
-// Node names the node.
+// Node identifies the node and its data centre.
 type Node struct {
 	ID         cassiatally.NodeID     // id, required
 	DataCentre cassiatally.DataCentre // data_centre, required
@@ -45,7 +45,7 @@
 	Admin   cassiatally.Address // admin, 127.0.0.1:7403
 }
 
-// Advertise has the addresses that the node tells to others.
+// Advertise has the addresses that the node announces to other nodes.
 type Advertise struct {
 	// Links is the address that other nodes connect to. It differs from
 	// Listen.Links behind a proxy. Default: listen.links. It is empty when the
@@ -53,10 +53,10 @@
 	Links cassiatally.Address
 }
 
-// Log says how to reach the log service.
+// Log has the address and the timeout of requests to the log service.
 type Log struct {
 	Address string        // address, required
-	Timeout time.Duration // timeout, 5s; longer than the long poll of 2 s
+	Timeout time.Duration // timeout, 5s; must exceed the long poll of 2 s
 }
 
 // Control selects how the node bounds the load of its backend server.
@@ -79,7 +79,7 @@
 	Queue int                     // queue, 1000 requests
 }
 
-// Requests bounds requests.
+// Requests bounds the size, the time and the number of requests.
 type Requests struct {
 	MaxBody        ByteSize      // max_body, 1MiB
 	DefaultTimeout time.Duration // default_timeout, 5s
@@ -87,7 +87,7 @@
 	MaxInFlight    int           // max_in_flight, 4096 requests
 }
 
-// Retries bounds retries.
+// Retries bounds retries per call tree and as a share of successes.
 type Retries struct {
 	PerRoot      cassiatally.RetryCount // per_root, 2 for a whole call tree
 	Ratio        float64                // ratio, 0.1 of successes
@@ -103,7 +103,7 @@
 	StoredAnswers ByteSize      // stored_answers, 16MiB
 }
 
-// Gossip has the timing of membership.
+// Gossip has the intervals of membership updates and failure detection.
 type Gossip struct {
 	Interval     time.Duration // interval, 1s
 	SuspectAfter time.Duration // suspect_after, 3s
@@ -121,7 +121,7 @@
 	Timeout time.Duration // timeout, 30s
 }
 
-// LogLevel is the lowest level of the log lines that are written.
+// LogLevel is the lowest level of log lines that the node writes.
 type LogLevel string
 
 // The levels of log lines.
@@ -132,7 +132,7 @@
 	LevelError LogLevel = "error"
 )
 
-// Defaults returns the settings of an empty file; required ones are empty.
+// Defaults returns the default settings; required ones are empty.
 func Defaults() Settings {
 	return Settings{
 		Listen:  Listen{Backend: "127.0.0.1:7401", Admin: "127.0.0.1:7403"},
@@ -152,21 +152,21 @@
 	}
 }
 
-// Describe returns the settings in force as YAML, defaults included. Load reads
-// it back to the same settings.
+// Describe returns the settings in force as YAML, defaults included. Load accepts
+// the text and returns the same settings.
 func (s *Settings) Describe() string {
 	var b strings.Builder
 	section := ""
 	for _, f := range schema {
 		value := f.print(s)
 		name, key, nested := strings.Cut(f.path, ".")
-		unknown := value == quote("") // an address that the kernel will choose
-		if nested && !unknown && name != section {
+		isUnset := value == quote("") // an address whose port the kernel will choose
+		if nested && !isUnset && name != section {
 			b.WriteString(name + ":\n")
 			section = name
 		}
 		switch {
-		case unknown:
+		case isUnset:
 		case nested:
 			b.WriteString("  " + key + ": " + value + "\n")
 		default:
