--- a/cassiatally/sheet/sheet.go
+++ b/cassiatally/sheet/sheet.go
@@ -1,14 +1,14 @@
 // Package sheet holds the data of a sheet: rows that state rank, share, target
-// and idempotence for a kind of work at a place and time. It takes no decisions
-// and reads no files; sheetparser reads a sheet and ranker looks policies up.
+// and idempotence for a kind of work at a data centre and a time of the week.
+// It only holds data: sheetparser reads sheets and ranker looks policies up in them.
 //
 // # Usage
 //
 //	s := sheet.Sheet{Rows: rows}
 //	text := s.CSV()
 //
-// CSV is the canonical form. The log holds sheets in this form, so that one
-// sheet has one digest whether it was written as CSV or as YAML.
+// CSV is the canonical form. The log stores sheets in this form, so that a sheet
+// has the same digest whether it was written as CSV or as YAML.
 package sheet
 
 import (
@@ -21,7 +21,8 @@
 )
 
 const (
-	// AnyDataCentre matches each data centre that has no row of its own at the time.
+	// AnyDataCentre matches every data centre that has no row of its own for the
+	// kind of work at the time.
 	AnyDataCentre cassiatally.DataCentre = "*"
 	// MaxBytes bounds the text of a sheet, in bytes. A record in the log may have
 	// 1 MiB, and its envelope needs room.
@@ -65,7 +66,7 @@
 // String returns the reference in the form service/kind.
 func (r KindRef) String() string { return string(r.Service) + "/" + string(r.Work) }
 
-// Row is one row of a sheet. Rows can be compared with ==.
+// Row is one row of a sheet. Rows are comparable with ==.
 type Row struct {
 	Kind       KindRef
 	DataCentre cassiatally.DataCentre
@@ -108,8 +109,8 @@
 	return fields
 }
 
-// Sheet is a list of rows. Where two rows for one kind and data centre hold at
-// one time, the earlier row wins.
+// Sheet is a list of rows. Where the windows of two rows for the same kind and
+// data centre overlap, the earlier row applies.
 type Sheet struct{ Rows []Row }
 
 // CSV returns the canonical text of the sheet.
--- a/cassiatally/sheet/window.go
+++ b/cassiatally/sheet/window.go
@@ -13,11 +13,11 @@
 // Zone is the IANA name of a time zone. The empty zone is UTC.
 type Zone string
 
-// Location returns the rules of the zone. The zone of the host is refused,
-// because a sheet must mean the same on every host.
+// Location returns the rules of the zone. The host's local zone is refused,
+// because a sheet must have the same meaning on every host.
 func (z Zone) Location() (*time.Location, error) {
 	if z == "Local" {
-		return nil, errors.New("the host's own zone is not the same everywhere")
+		return nil, errors.New("the host's local zone differs between hosts")
 	}
 	loc, err := time.LoadLocation(string(z))
 	if err != nil {
@@ -141,7 +141,7 @@
 // AllDay reports whether the window covers its days from midnight to midnight.
 func (w Window) AllDay() bool { return w.From == 0 && w.To == MinutesPerDay }
 
-// Contains reports whether the window holds at a local time of its own zone.
+// Contains reports whether a local time in the zone of the window is inside it.
 func (w Window) Contains(local time.Time) bool {
 	m := Minute(local.Hour()*minutesPerHour + local.Minute())
 	day := local.Weekday()
@@ -151,8 +151,8 @@
 	if m >= w.From {
 		return w.Days.Has(day)
 	}
-	before := (day + daysPerWeek - 1) % daysPerWeek
-	return m < w.To && w.Days.Has(before)
+	previous := (day + daysPerWeek - 1) % daysPerWeek
+	return m < w.To && w.Days.Has(previous)
 }
 
 func (w Window) field(c Column) string {
--- a/cassiatally/sheet/window_test.go
+++ b/cassiatally/sheet/window_test.go
@@ -9,7 +9,7 @@
 	"github.com/cassiatally/cassiatally/cassiatally/sheet"
 )
 
-// Guards against days that are misread, which moves a window to another day.
+// Guards against days that are parsed wrongly, which moves a window to another day.
 func TestParseDays(t *testing.T) {
 	cases := []struct{ name, text, want string }{
 		{"empty is every day", "", "*"},
@@ -60,7 +60,7 @@
 	}
 }
 
-// Guards against a sheet that takes its zone from the host it is read on.
+// Guards against a sheet whose windows depend on the zone of the host that reads it.
 func TestHostZoneIsRefused(t *testing.T) {
 	_, err := sheet.Zone("Local").Location()
 	is.New(t).True(err != nil)
