--- a/cassiatally/sheetparser/check.go
+++ b/cassiatally/sheetparser/check.go
@@ -10,7 +10,8 @@
 const (
 	// maxShares bounds the sum of the shares of all ranks but the most urgent.
 	maxShares cassiatally.Share = 1
-	// warnShares leaves half of the capacity to the most urgent rank in a flood.
+	// warnShares is the sum above which the most urgent rank is left with less than
+	// half of the capacity under overload.
 	warnShares cassiatally.Share = 0.5
 	// shareTolerance absorbs the rounding of decimal fractions in a sum.
 	shareTolerance cassiatally.Share = 1e-9
@@ -70,11 +71,11 @@
 }
 
 func (p *Parser) checkSum(at Position, sum cassiatally.Share) {
-	wrong := fmt.Sprintf("the shares of the ranks from 1 on add up to %.4g", float64(sum))
+	message := fmt.Sprintf("the shares of the ranks from 1 on add up to %.4g", float64(sum))
 	switch {
 	case sum > maxShares+shareTolerance:
-		p.errorAt(at, sheet.ColumnShare, wrong, "lower them to at most 1 in all")
+		p.errorAt(at, sheet.ColumnShare, message, "lower them to at most 1 in all")
 	case sum > warnShares+shareTolerance:
-		p.warnAt(at, sheet.ColumnShare, wrong, "at most 0.5 leaves the most urgent rank half of the capacity")
+		p.warnAt(at, sheet.ColumnShare, message, "at most 0.5 leaves the most urgent rank half of the capacity")
 	}
 }
--- a/cassiatally/sheetparser/convert.go
+++ b/cassiatally/sheetparser/convert.go
@@ -11,14 +11,14 @@
 	"github.com/cassiatally/cassiatally/cassiatally/sheet"
 )
 
-// maxTarget bounds a target time. No caller waits longer for an answer.
+// maxTarget bounds a target time. No caller waits longer than that for an answer.
 const maxTarget = time.Hour
 
 var (
 	requiredColumns = []sheet.Column{
 		sheet.ColumnService, sheet.ColumnKind, sheet.ColumnRank, sheet.ColumnTarget, sheet.ColumnIdempotent,
 	}
-	// namePattern keeps names usable as a path segment of a URL.
+	// namePattern allows only names that can be a path segment of a URL.
 	namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 )
 
@@ -28,9 +28,9 @@
 		if r.invalid {
 			continue
 		}
-		found := len(p.report.Errors) + p.report.More
+		errorsBefore := len(p.report.Errors) + p.report.More
 		row := p.convert(r)
-		if len(p.report.Errors)+p.report.More == found {
+		if len(p.report.Errors)+p.report.More == errorsBefore {
 			rows = append(rows, placedRow{Row: row, raw: r})
 		}
 	}
@@ -55,7 +55,8 @@
 	}
 }
 
-// place returns the place of a column in the file, or that of the row.
+// position returns the position of the field in the column, or that of the row
+// when the row has no such field.
 func (r rawRow) place(c sheet.Column) Position {
 	if found, ok := r.cells[c]; ok {
 		return found.at
@@ -65,12 +66,12 @@
 
 func (r rawRow) text(c sheet.Column) string { return r.cells[c].text }
 
-func (p *Parser) fault(r rawRow, c sheet.Column, right string) {
-	wrong := fmt.Sprintf("%q is not valid", r.text(c))
+func (p *Parser) fault(r rawRow, c sheet.Column, fix string) {
+	message := fmt.Sprintf("%q is not valid", r.text(c))
 	if r.text(c) == "" {
-		wrong = "the value is missing"
+		message = "the value is missing"
 	}
-	p.errorAt(r.place(c), c, wrong, right)
+	p.errorAt(r.place(c), c, message, fix)
 }
 
 func (p *Parser) name(r rawRow, c sheet.Column) string {
--- a/cassiatally/sheetparser/coverage.go
+++ b/cassiatally/sheetparser/coverage.go
@@ -10,11 +10,12 @@
 	"github.com/cassiatally/cassiatally/cassiatally/sheet"
 )
 
-// maxSpans bounds the times that one warning lists.
+// maxSpans bounds the number of gaps that one warning lists.
 const maxSpans = 4
 
-// Rows of one kind may use several zones. Their windows are then compared in a
-// winter and a summer week, because the difference of two zones can change.
+// referenceWeeks are a winter and a summer week. Rows of one kind may use several
+// zones, and the difference between two zones can change with daylight-saving
+// time, so their windows are compared in both weeks.
 var referenceWeeks = []time.Time{
 	time.Date(2026, time.January, 12, 0, 0, 0, 0, time.UTC),
 	time.Date(2026, time.July, 13, 0, 0, 0, 0, time.UTC),
@@ -30,8 +31,8 @@
 
 func (w *week) has(m sheet.Minute) bool { return w[m/wordBits]&(1<<(m%wordBits)) != 0 }
 
-// add puts [from, to) into the set, wrapping at the end of the week, and reports
-// the first minute that was in the set before.
+// add adds the minutes [from, to), wrapping at the end of the week. It returns the
+// first of them that was in the set before, and whether there was one.
 func (w *week) add(from, to sheet.Minute) (sheet.Minute, bool) {
 	var first sheet.Minute
 	overlap := false
@@ -45,13 +46,14 @@
 	return first, overlap
 }
 
-func (w *week) union(o *week) {
+func (w *week) union(other *week) {
 	for i := range w {
-		w[i] |= o[i]
+		w[i] |= other[i]
 	}
 }
 
-// gaps returns the times that are not in the set, as text.
+// gaps returns a text with the spans of time that are not in the set. It is empty
+// when the set covers the whole week.
 func (w *week) gaps() string {
 	var spans []string
 	for m := sheet.Minute(0); m < sheet.MinutesPerWeek; m++ {
@@ -76,7 +78,7 @@
 	return day.String() + " " + (m % sheet.MinutesPerDay).String()
 }
 
-// checkTimes warns of gaps and overlaps for each kind.
+// checkCoverage warns of gaps and overlaps for each kind.
 func (p *Parser) checkTimes(rows []placedRow) {
 	var order []sheet.KindRef
 	kinds := map[sheet.KindRef][]placedRow{}
@@ -92,16 +94,16 @@
 }
 
 func (p *Parser) checkKind(rows []placedRow) {
-	seen := map[string]bool{}
+	reported := map[string]bool{}
 	for _, at := range referenceWeeks {
-		c := coverage{parser: p, rows: rows, at: at, seen: seen, sets: map[cassiatally.DataCentre]*week{}}
+		c := coverage{parser: p, rows: rows, at: at, seen: reported, sets: map[cassiatally.DataCentre]*week{}}
 		c.overlaps()
 		c.gaps()
 	}
 }
 
-// coverage is the cover of the week by the rows of one kind, told in the zone of
-// the first row.
+// coverage records the minutes of a reference week that the rows of one kind
+// cover, in the zone of the first row.
 type coverage struct {
 	parser *Parser
 	rows   []placedRow
@@ -111,17 +113,17 @@
 	sets   map[cassiatally.DataCentre]*week
 }
 
-func (c *coverage) warn(r placedRow, wrong, right string) {
-	key := fmt.Sprint(r.raw.at, wrong)
+func (c *coverage) warn(r placedRow, message, fix string) {
+	key := fmt.Sprint(r.raw.at, message)
 	if c.seen[key] {
 		return
 	}
 	c.seen[key] = true
-	c.parser.warnAt(r.raw.at, "", wrong, right)
+	c.parser.warnAt(r.raw.at, "", message, fix)
 }
 
-// overlaps fills the set of each data centre and warns of rows that hold at a
-// time that an earlier row of the data centre has.
+// checkOverlaps fills the set of each data centre and warns of rows whose window
+// overlaps that of an earlier row of the data centre.
 func (c *coverage) overlaps() {
 	for _, r := range c.rows {
 		set, ok := c.sets[r.DataCentre]
@@ -159,21 +161,21 @@
 }
 
 func (c *coverage) gaps() {
-	others := c.sets[sheet.AnyDataCentre]
-	if others == nil {
-		others = &week{}
+	anyCovered := c.sets[sheet.AnyDataCentre]
+	if anyCovered == nil {
+		anyCovered = &week{}
 	}
-	general := others.gaps()
-	if general != "" {
-		c.warnGap(sheet.AnyDataCentre, general)
+	anyGaps := anyCovered.gaps()
+	if anyGaps != "" {
+		c.warnGap(sheet.AnyDataCentre, anyGaps)
 	}
 	for _, dc := range c.order {
 		if dc == sheet.AnyDataCentre {
 			continue
 		}
-		c.sets[dc].union(others)
-		if own := c.sets[dc].gaps(); own != "" && own != general {
-			c.warnGap(dc, own)
+		c.sets[dc].union(anyCovered)
+		if gaps := c.sets[dc].gaps(); gaps != "" && gaps != anyGaps {
+			c.warnGap(dc, gaps)
 		}
 	}
 }
--- a/cassiatally/sheetparser/csv.go
+++ b/cassiatally/sheetparser/csv.go
@@ -125,12 +125,12 @@
 }
 
 func (p *Parser) reportCSV(err error) {
-	at, wrong := Position{1, 1}, err.Error()
+	at, message := Position{1, 1}, err.Error()
 	var parse *csv.ParseError
 	if errors.As(err, &parse) {
-		at, wrong = Position{parse.Line, parse.Column}, parse.Err.Error()
+		at, message = Position{parse.Line, parse.Column}, parse.Err.Error()
 	}
-	p.errorAt(at, "", "malformed CSV: "+wrong, `enclose the field in double quotes and write a quote in it as ""`)
+	p.errorAt(at, "", "malformed CSV: "+message, `enclose the field in double quotes and write a quote in it as ""`)
 }
 
 func (p *Parser) tooManyRows(at Position) {
--- a/cassiatally/sheetparser/example_test.go
+++ b/cassiatally/sheetparser/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against example sheets that cannot be published, or that warn.
+// Guards against example sheets that have errors or warnings.
 func TestExamples(t *testing.T) {
 	for _, file := range []string{"../../examples/barrier/sheet.csv", "../../examples/intake/sheet.yaml"} {
 		t.Run(file, func(t *testing.T) {
--- a/cassiatally/sheetparser/parser.go
+++ b/cassiatally/sheetparser/parser.go
@@ -1,6 +1,6 @@
 // Package sheetparser reads a sheet from CSV, as spreadsheets write it, or from
-// YAML. It reports every problem with file, line, column, what is wrong and what
-// would be right. Errors keep a sheet from being used; warnings do not.
+// YAML. It reports every problem with file, line, column, what is wrong and how to
+// correct it. A sheet with errors is not used; one with warnings is.
 //
 // # Usage
 //
@@ -29,8 +29,8 @@
 	"github.com/cassiatally/cassiatally/cassiatally/sheet"
 )
 
-// Parser reads sheets. The zero value is ready, and one Parser must not be used
-// by two goroutines at a time.
+// Parser reads sheets. The zero value is ready to use. A Parser is not safe for
+// concurrent use.
 type Parser struct {
 	file      string
 	report    Report
@@ -38,28 +38,28 @@
 	separator rune
 }
 
-// cell is the text of a field and its place in the file.
+// cell is the text of a field and its position in the file.
 type cell struct {
 	text string
 	at   Position
 }
 
-// rawRow is a row of text. Columns that are absent have no cell.
+// rawRow is the unparsed text of a row. Columns that are absent have no cell.
 type rawRow struct {
 	at    Position
 	cells map[sheet.Column]cell
-	// invalid marks a row that was reported as a whole.
+	// invalid is set when an error was reported for the row as a whole.
 	invalid bool
 }
 
-// placedRow is a row of the sheet and its place in the file.
+// parsedRow is a row of the sheet and the text from which it was parsed.
 type placedRow struct {
 	sheet.Row
 	raw rawRow
 }
 
-// Parse reads a sheet. The name of the file decides the format: .yaml and .yml
-// are YAML, all others CSV. The sheet is empty when the report has errors.
+// Parse reads a sheet. The extension of the file name selects the format: .yaml
+// and .yml are YAML, all others CSV. The sheet is empty when the report has errors.
 func (p *Parser) Parse(file string, data []byte) (sheet.Sheet, Report) {
 	*p = Parser{file: file, zones: map[sheet.Zone]*time.Location{}}
 	if len(data) > sheet.MaxBytes {
@@ -81,8 +81,8 @@
 	}
 }
 
-// result makes the sheet. A sheet that was read from bounded text may still
-// exceed the bound in its canonical form.
+// buildSheet returns the sheet. Its canonical form can exceed sheet.MaxBytes even
+// when the text that was read does not.
 func (p *Parser) result(rows []placedRow) sheet.Sheet {
 	if len(p.report.Errors) > 0 {
 		return sheet.Sheet{}
@@ -98,15 +98,15 @@
 	return s
 }
 
-func (p *Parser) errorAt(at Position, c sheet.Column, wrong, right string) {
-	p.report.add(Problem{File: p.file, Position: at, Severity: SeverityError, Field: c, Wrong: wrong, Right: right})
+func (p *Parser) errorAt(at Position, c sheet.Column, message, fix string) {
+	p.report.add(Problem{File: p.file, Position: at, Severity: SeverityError, Field: c, Wrong: message, Right: fix})
 }
 
-func (p *Parser) warnAt(at Position, c sheet.Column, wrong, right string) {
-	p.report.add(Problem{File: p.file, Position: at, Severity: SeverityWarning, Field: c, Wrong: wrong, Right: right})
+func (p *Parser) warnAt(at Position, c sheet.Column, message, fix string) {
+	p.report.add(Problem{File: p.file, Position: at, Severity: SeverityWarning, Field: c, Wrong: message, Right: fix})
 }
 
-// knownColumn returns the column of a name and reports names that are unknown.
+// findColumn returns the column of a name and reports an error when there is none.
 func (p *Parser) knownColumn(at Position, name string) (sheet.Column, bool) {
 	for _, c := range sheet.Columns() {
 		if string(c) == name {
--- a/cassiatally/sheetparser/parser_test.go
+++ b/cassiatally/sheetparser/parser_test.go
@@ -21,7 +21,8 @@
 	return p.Parse(file, []byte(text))
 }
 
-// Guards against spreadsheet dialects and YAML that are read as other rows.
+// Guards against CSV dialects of spreadsheets or YAML that give other rows than
+// plain CSV.
 func TestFormatsGiveTheSameRows(t *testing.T) {
 	want, report := parse("a.csv", header+"a,look,*,Europe/London,sat sun,06:00,12:00,1,0.1,800ms,true\n")
 	is.New(t).Equal(len(report.Errors), 0)
@@ -43,7 +44,7 @@
 	}
 }
 
-// Guards against faults that are accepted, or reported at the wrong place.
+// Guards against errors that are accepted, or reported at a wrong position.
 func TestErrors(t *testing.T) {
 	row := "a,look,*,,*,,,1,0.1,800ms,true\n"
 	cases := []struct {
@@ -92,8 +93,8 @@
 	}
 }
 
-// Guards against gaps and overlaps that planners are not told of, and against
-// warnings where the sheet is sound.
+// Guards against gaps and overlaps without a warning, and against warnings about
+// a sheet that has none.
 func TestWarnings(t *testing.T) {
 	cases := []struct {
 		name string
@@ -129,7 +130,7 @@
 	}
 }
 
-// Guards against a canonical form that reads back as another sheet.
+// Guards against a canonical form that is parsed to another sheet.
 func TestCanonicalFormReadsBack(t *testing.T) {
 	is := is.New(t)
 	s, report := parse("s.csv", header+"a,k,dc1,Asia/Manila,fri-sun,22:00,06:30,3,0.05,1m30s,false\na,k,*,,*,,,0,0.333333333,1ms,false\n")
@@ -142,8 +143,8 @@
 func FuzzCSV(f *testing.F)  { fuzz(f, "s.csv") }
 func FuzzYAML(f *testing.F) { fuzz(f, "s.yaml") }
 
-// fuzz guards against panics on malformed files, and against sheets that are
-// accepted but do not read back from the log.
+// fuzz guards against panics on malformed files, and against accepted sheets whose
+// canonical form, as the log stores it, is parsed to another sheet.
 func fuzz(f *testing.F, file string) {
 	seeds, err := filepath.Glob("testdata/seeds/*" + filepath.Ext(file))
 	if err != nil || len(seeds) == 0 {
--- a/cassiatally/sheetparser/report.go
+++ b/cassiatally/sheetparser/report.go
@@ -11,7 +11,7 @@
 // maxProblems bounds the problems of one severity in a report.
 const maxProblems = 200
 
-// Severity tells whether a problem keeps a sheet from being published.
+// Severity says whether a problem prevents a sheet from being published.
 type Severity string
 
 // The severities.
@@ -20,19 +20,20 @@
 	SeverityWarning Severity = "warning"
 )
 
-// Position is a place in a file. Line and column count from 1, the column in bytes.
+// Position is a position in a file. Line and column count from 1, the column in
+// bytes.
 type Position struct {
 	Line   int `json:"line"`
 	Column int `json:"column"`
 }
 
-// Problem is one fault of a sheet.
+// Problem is one error or warning about a sheet.
 type Problem struct {
 	File string `json:"file"`
 	Position
 	Severity Severity     `json:"severity"`
 	Field    sheet.Column `json:"field,omitempty"`
-	// Wrong says what is wrong, and Right what would be right.
+	// Message says what is wrong, and Fix how to correct it.
 	Wrong string `json:"wrong"`
 	Right string `json:"right"`
 }
@@ -46,11 +47,12 @@
 	return fmt.Sprintf("%s:%d:%d: %s: %s%s; %s", p.File, p.Line, p.Column, p.Severity, field, p.Wrong, p.Right)
 }
 
-// Report has all problems of a sheet, errors in the order in which they were found.
+// Report has the problems of a sheet, errors in the order in which they were
+// found, with a bound on the number of each severity.
 type Report struct {
 	Errors   []Problem `json:"errors"`
 	Warnings []Problem `json:"warnings"`
-	// More counts the problems beyond the bound of the report.
+	// More counts the problems that are left out because of the bound.
 	More int `json:"more"`
 }
 
--- a/cassiatally/sheetparser/yaml.go
+++ b/cassiatally/sheetparser/yaml.go
@@ -20,14 +20,14 @@
 	// maxYAMLLine bounds a line, in bytes. Block collections nest within a line,
 	// and the YAML library parses nested collections by recursion.
 	maxYAMLLine = 4 << 10
-	// maxYAMLIndicators bounds the characters that can open a nested node in a
-	// flow, for the same reason. A row in flow style needs one.
+	// maxYAMLIndicators bounds the number of characters that can open a nested node
+	// in flow style, for the same reason. A row in flow style needs one.
 	maxYAMLIndicators = 2 * sheet.MaxRows
 	yamlIndicators    = "[{!&?"
 )
 
-// yamlErrorPlace finds the line and column that the YAML library puts in front
-// of its messages.
+// yamlErrorPosition matches the line and column with which the messages of the
+// YAML library start.
 var yamlErrorPlace = regexp.MustCompile(`^\[(\d+):(\d+)\] ([^\n]*)`)
 
 func (p *Parser) readYAML(data []byte) []rawRow {
@@ -70,8 +70,8 @@
 	return true
 }
 
-// parseYAML turns a panic of the YAML library into an error, so that a
-// malformed file never ends the process.
+// parseYAML converts a panic of the YAML library to an error, so that a malformed
+// file does not crash the process.
 func parseYAML(data []byte) (file *ast.File, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -82,13 +82,13 @@
 }
 
 func (p *Parser) reportYAML(err error) {
-	at, wrong := Position{1, 1}, strings.SplitN(err.Error(), "\n", 2)[0]
+	at, message := Position{1, 1}, strings.SplitN(err.Error(), "\n", 2)[0]
 	if m := yamlErrorPlace.FindStringSubmatch(err.Error()); m != nil {
 		at.Line, _ = strconv.Atoi(m[1])
 		at.Column, _ = strconv.Atoi(m[2])
-		wrong = m[3]
+		message = m[3]
 	}
-	p.errorAt(at, "", "malformed YAML: "+wrong, "correct the syntax; put * and text with special characters in quotes")
+	p.errorAt(at, "", "malformed YAML: "+message, "correct the syntax; put * and text with special characters in quotes")
 }
 
 func (p *Parser) yamlRows(body ast.Node) []rawRow {
@@ -141,7 +141,7 @@
 		if !ok {
 			continue
 		}
-		if _, twice := row.cells[c]; twice {
+		if _, duplicate := row.cells[c]; duplicate {
 			p.errorAt(at, c, "the key appears twice in the row", "keep one of them")
 			continue
 		}
@@ -154,8 +154,9 @@
 	return row
 }
 
-// mapping returns the entries of a mapping node and reports other nodes.
-func (p *Parser) mapping(node ast.Node, right string) []*ast.MappingValueNode {
+// mappingEntries returns the entries of a mapping node and reports an error for
+// other and empty nodes.
+func (p *Parser) mapping(node ast.Node, fix string) []*ast.MappingValueNode {
 	switch n := node.(type) {
 	case *ast.MappingNode:
 		if len(n.Values) > 0 {
@@ -164,7 +165,7 @@
 	case *ast.MappingValueNode:
 		return []*ast.MappingValueNode{n}
 	}
-	p.errorAt(placeOf(node), "", "expected keys and values", right)
+	p.errorAt(placeOf(node), "", "expected keys and values", fix)
 	return nil
 }
 
@@ -177,7 +178,7 @@
 }
 
 // scalar returns the text of a plain or quoted value. Anchors, aliases, tags and
-// collections are no scalars, so that a small file cannot expand to a large one.
+// collections are refused, so that a small file cannot expand to a large one.
 func scalar(node ast.Node) (string, bool) {
 	switch n := node.(type) {
 	case nil, *ast.NullNode:
@@ -192,7 +193,8 @@
 	return "", false
 }
 
-// placeOf returns the start of the file for nodes without a token.
+// nodePosition returns the position of a node, or the start of the file when the
+// node has no token.
 func placeOf(node any) Position {
 	t := tokenOf(node)
 	if t == nil || t.Position == nil {
