--- a/cassiatally/sheetdiffer/differ.go
+++ b/cassiatally/sheetdiffer/differ.go
@@ -6,9 +6,10 @@
 //	changes := d.Diff(before, after)
 //	text := d.Text(changes)
 //
-// Rows are matched by kind of work, data centre and time window. A row with
-// another window is a removed row and an added row. The order of rows is not
-// compared; it matters only where windows overlap, of which the parser warns.
+// Rows are matched by kind of work, data centre and time window. A row whose
+// window changed is reported as a removed row and an added row. The order of rows
+// is not compared; it matters only where windows overlap, and the parser warns of
+// that.
 package sheetdiffer
 
 import (
@@ -19,7 +20,7 @@
 	"github.com/cassiatally/cassiatally/cassiatally/sheet"
 )
 
-// Operation tells how a row changed.
+// Operation is the way in which a row changed.
 type Operation string
 
 // The operations.
@@ -47,8 +48,8 @@
 // Differ compares sheets. It has no state.
 type Differ struct{}
 
-// rowKey identifies a row in both sheets. Equal rows of a sheet are told apart
-// by their number.
+// rowKey identifies a row in both sheets. The occurrence, from 1, distinguishes
+// rows of a sheet with the same kind, data centre and window.
 type rowKey struct {
 	kind       sheet.KindRef
 	dataCentre cassiatally.DataCentre
@@ -59,16 +60,16 @@
 // Diff returns the changes from before to after: added and changed rows in the
 // order of after, then removed rows in the order of before.
 func (Differ) Diff(before, after sheet.Sheet) []Change {
-	old := map[rowKey]sheet.Row{}
+	unmatched := map[rowKey]sheet.Row{}
 	beforeKeys, afterKeys := keysOf(before), keysOf(after)
 	for i, k := range beforeKeys {
-		old[k] = before.Rows[i]
+		unmatched[k] = before.Rows[i]
 	}
 	var changes []Change
 	for i, k := range afterKeys {
 		row := after.Rows[i]
-		previous, ok := old[k]
-		delete(old, k)
+		previous, ok := unmatched[k]
+		delete(unmatched, k)
 		if !ok {
 			changes = append(changes, Change{Operation: Added, Row: row})
 		} else if fields := fieldChanges(previous, row); len(fields) > 0 {
@@ -76,7 +77,7 @@
 		}
 	}
 	for _, k := range beforeKeys {
-		if row, left := old[k]; left {
+		if row, removed := unmatched[k]; removed {
 			changes = append(changes, Change{Operation: Removed, Row: row})
 		}
 	}
@@ -154,15 +155,15 @@
 	return strings.Join(parts, ", ")
 }
 
-// ChangeRow is a change in the form in which programs read it.
+// ChangeRow is a change as it is encoded in JSON.
 type ChangeRow struct {
 	Operation Operation               `json:"operation"`
 	Row       map[sheet.Column]string `json:"row"`
 	Fields    []FieldChange           `json:"fields,omitempty"`
 }
 
-// Rows returns the changes in the form in which programs read them. The result
-// is never nil, so that no changes are an empty array in JSON.
+// ChangeRows converts the changes for JSON. The result is never nil, so that it is
+// encoded as an empty array when there are no changes.
 func Rows(changes []Change) []ChangeRow {
 	rows := make([]ChangeRow, 0, len(changes))
 	for _, c := range changes {
--- a/cassiatally/sheetdiffer/differ_test.go
+++ b/cassiatally/sheetdiffer/differ_test.go
@@ -17,7 +17,8 @@
 	return s
 }
 
-// Guards against changes that an operator who lost a race is not shown.
+// Guards against changes that are missing from the text. An operator whose sheet
+// was refused because another one was published first decides by this text.
 func TestDiff(t *testing.T) {
 	base := "a,k,*,,*,,,1,0.1,1s,true\na,l,dc1,Asia/Manila,sat,22:00,06:00,0,,2s,false\n"
 	cases := []struct{ name, before, after, want string }{
