--- a/cassiatally/flagparser/parser.go
+++ b/cassiatally/flagparser/parser.go
@@ -1,10 +1,10 @@
 // Package flagparser parses the arguments of one command with flaggy and returns
-// faults as errors.
+// usage errors to the caller.
 //
-// flaggy reports most faults of a command line by printing help to the standard
-// error and ending the process. The package has flaggy panic instead of exiting,
-// gives it a help template that prints nothing and keeps the message, and turns
-// the panic into an Error of KindUsage.
+// By default flaggy reports most usage errors by printing help to the standard
+// error and exiting the process. The package makes flaggy panic instead of exiting,
+// gives it a help template that prints nothing and captures the message, and
+// converts the panic to an Error of KindUsage.
 //
 // # Usage
 //
@@ -26,16 +26,16 @@
 )
 
 func init() {
-	// The setting is global to flaggy, so it is made once and never changed.
+	// The setting is global to flaggy, so it is set once and never changed.
 	flaggy.PanicInsteadOfExit = true
 }
 
-// parsing guards the state that flaggy keeps in its package.
+// flaggyMu guards the package-level state of flaggy.
 var parsing sync.Mutex
 
-// Parser parses the arguments of one command once.
+// Parser parses the arguments of one command. It can be used once.
 type Parser struct {
-	// Flags takes the flags of the command.
+	// Flags is where the command adds its flags.
 	Flags *flaggy.Parser
 
 	message   string
@@ -43,8 +43,8 @@
 	positions int
 }
 
-// New returns a parser for the command, named with its program, which has the
-// flag --help.
+// New returns a parser for the command, such as "cassiatally sheet check". It has
+// the flag --help.
 func New(command string) *Parser {
 	p := &Parser{Flags: flaggy.NewParser(command)}
 	p.Flags.ShowHelpWithHFlag = false
@@ -62,15 +62,16 @@
 	return ""
 }
 
-// Positional adds the next argument that is no flag.
+// Positional adds the next positional argument.
 func (p *Parser) Positional(value *string, name, description string, required bool) {
 	p.positions++
 	p.Flags.AddPositionalValue(value, name, p.positions, false, description)
-	// flaggy would refuse --help without the argument, so Parse checks it.
+	// The argument is optional for flaggy, which would otherwise refuse --help
+	// without it. Parse checks that the arguments that are not Hidden are given.
 	p.Flags.PositionalFlags[len(p.Flags.PositionalFlags)-1].Hidden = !required
 }
 
-// Parse sets the flags and reports whether help was asked for.
+// Parse sets the flags and arguments and reports whether --help was given.
 func (p *Parser) Parse(args []string) (help bool, err error) {
 	parsing.Lock()
 	defer parsing.Unlock()
@@ -96,7 +97,8 @@
 	return false, nil
 }
 
-// usage prefers the message that flaggy meant to print over that of its panic.
+// usageError returns an Error of KindUsage. It prefers the message that flaggy
+// passed to the help template to that of its panic.
 func (p *Parser) usage(message string) error {
 	if p.message != "" {
 		message = p.message
--- a/cassiatally/flagparser/parser_test.go
+++ b/cassiatally/flagparser/parser_test.go
@@ -10,8 +10,8 @@
 	"github.com/cassiatally/cassiatally/cassiatally/flagparser"
 )
 
-// TestParse guards against flaggy ending the process or printing by itself, and
-// against faults of a command line that pass unseen.
+// TestParse guards against flaggy exiting the process or printing by itself, and
+// against usage errors that are not reported.
 func TestParse(t *testing.T) {
 	cases := map[string]struct {
 		args   []string
