--- a/cassiatally/headers/headers.go
+++ b/cassiatally/headers/headers.go
@@ -1,5 +1,5 @@
 // Package headers names the HTTP headers that callers, nodes and backend servers
-// exchange. docs/http.md gives their meaning.
+// exchange. docs/http.md defines their meaning.
 //
 // # Usage
 //
@@ -8,13 +8,13 @@
 
 // The headers, in their canonical form.
 const (
-	// Outcome is ran, not_run or unknown.
+	// Outcome is the outcome of the request: ran, not_run or unknown.
 	Outcome = "Cassiatally-Outcome"
 	// Timeout is the time left for the request, as a duration such as 800ms.
 	Timeout = "Cassiatally-Timeout"
 	// Tenant names the organisation on whose behalf a request is sent.
 	Tenant = "Cassiatally-Tenant"
-	// Attempt counts how often the caller has sent a key, from 1.
+	// Attempt is the number of times that the caller has sent the key, from 1.
 	Attempt = "Cassiatally-Attempt"
 	// Request is the id of the root request.
 	Request = "Cassiatally-Request"
@@ -26,7 +26,7 @@
 	Kind = "Cassiatally-Kind"
 	// Rank is the rank of the request, towards backend servers.
 	Rank = "Cassiatally-Rank"
-	// Call tells two onward calls of one run apart.
+	// Call distinguishes the onward calls of one run.
 	Call = "Cassiatally-Call"
 	// Key is the idempotency key.
 	Key = "Idempotency-Key"
