--- a/cassiatally/exitreporter/reporter.go
+++ b/cassiatally/exitreporter/reporter.go
@@ -15,13 +15,14 @@
 	"github.com/cassiatally/cassiatally/cassiatally"
 )
 
-// Reporter reports for one program.
+// Reporter prints errors under the name of a program.
 type Reporter struct {
 	Program string
 	Stderr  io.Writer
 }
 
-// Report prints an error once and returns the exit code of its kind.
+// Report prints an error and returns the exit code of its kind. It prints nothing
+// when err is nil.
 func (r Reporter) Report(err error) cassiatally.ExitCode {
 	if err == nil {
 		return cassiatally.ExitSuccess
