--- a/cassiatally/sysclock/clock.go
+++ b/cassiatally/sysclock/clock.go
@@ -18,7 +18,7 @@
 func New() *Clock { return &Clock{origin: time.Now()} }
 
 // Now returns a monotonic reading. Instants start at one hour, so that code may
-// subtract from them without passing below zero.
+// subtract up to an hour from them without a negative result.
 func (c *Clock) Now() cassiatally.Instant {
 	return cassiatally.Instant(time.Hour + time.Since(c.origin))
 }
