--- a/cassiatally/looper/looper.go
+++ b/cassiatally/looper/looper.go
@@ -74,7 +74,7 @@
 }
 
 func (l *Looper[T]) handleAll() {
-	l.batch = l.Inbox.Take(l.batch[:0])
+	l.batch = l.Inbox.TakeAll(l.batch[:0])
 	if len(l.batch) == 0 {
 		return
 	}
--- a/cassiatally/ring/ring.go
+++ b/cassiatally/ring/ring.go
@@ -181,7 +181,7 @@
 
 // TakeAll removes all entries, appends them to buf in order and returns the
 // extended slice.
-func (r *Ring[T]) Take(buf []T) []T {
+func (r *Ring[T]) TakeAll(buf []T) []T {
 	r.mu.Lock()
 	var zero T
 	for range r.n {
@@ -258,7 +258,7 @@
 }
 
 // LossCounts returns how many entries were refused and how many were dropped.
-func (r *Ring[T]) Lost() (refused, dropped uint64) {
+func (r *Ring[T]) LossCounts() (refused, dropped uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.refused, r.dropped
--- a/cassiatally/ring/ring_test.go
+++ b/cassiatally/ring/ring_test.go
@@ -20,7 +20,7 @@
 		for i := range 2 {
 			is.True(r.Push(context.Background(), round*2+i))
 		}
-		for _, v := range r.Take(nil) {
+		for _, v := range r.TakeAll(nil) {
 			is.Equal(v, next)
 			next++
 		}
@@ -52,8 +52,8 @@
 			r.Push(context.Background(), 1)
 			r.Push(context.Background(), 2)
 			is.Equal(r.Push(context.Background(), 3), c.accepted)
-			is.Equal(r.Take(nil), c.contents)
-			refused, dropped := r.Lost()
+			is.Equal(r.TakeAll(nil), c.contents)
+			refused, dropped := r.LossCounts()
 			is.Equal(refused, c.refused)
 			is.Equal(dropped, c.dropped)
 		})
--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -131,7 +131,7 @@
 
 // Refused returns how many messages found no room in the inbox.
 func (d *Dispatcher) Refused() uint64 {
-	refused, _ := d.inbox.Lost()
+	refused, _ := d.inbox.LossCounts()
 	return refused
 }
 
--- a/node/executor/executor.go
+++ b/node/executor/executor.go
@@ -165,7 +165,7 @@
 
 // Refused returns how many messages found no room in the inbox.
 func (x *Executor) Refused() uint64 {
-	refused, _ := x.inbox.Lost()
+	refused, _ := x.inbox.LossCounts()
 	return refused
 }
 
--- a/node/linker/linker.go
+++ b/node/linker/linker.go
@@ -381,7 +381,7 @@
 	if to == "" {
 		to = k.peer.Node
 	}
-	for _, m := range k.outbox.Take(nil) {
+	for _, m := range k.outbox.TakeAll(nil) {
 		l.Undelivered(to, m)
 	}
 }
--- a/node/memberkeeper/memberkeeper.go
+++ b/node/memberkeeper/memberkeeper.go
@@ -89,7 +89,7 @@
 
 // Refused returns how many messages found no room in the inbox.
 func (k *Keeper) Refused() uint64 {
-	refused, _ := k.inbox.Lost()
+	refused, _ := k.inbox.LossCounts()
 	return refused
 }
 
--- a/node/routekeeper/routekeeper.go
+++ b/node/routekeeper/routekeeper.go
@@ -112,7 +112,7 @@
 
 // Refused returns how many messages found no room in the inbox.
 func (k *Keeper) Refused() uint64 {
-	refused, _ := k.inbox.Lost()
+	refused, _ := k.inbox.LossCounts()
 	return refused
 }
 
--- a/standin/announcer/announcer.go
+++ b/standin/announcer/announcer.go
@@ -123,7 +123,7 @@
 				failing = a.logChange(a.put(ctx, *current), failing)
 			}
 		case <-a.inbox.Ready():
-			for _, u := range a.inbox.Take(nil) {
+			for _, u := range a.inbox.TakeAll(nil) {
 				current = a.apply(ctx, u)
 			}
 		}
--- a/standin/drainer/drainer.go
+++ b/standin/drainer/drainer.go
@@ -96,7 +96,7 @@
 				draining = false
 			}
 		case <-d.inbox.Ready():
-			for _, e := range d.inbox.Take(nil) {
+			for _, e := range d.inbox.TakeAll(nil) {
 				inFlight += change(e)
 				draining = d.applyState(ctx, e, draining)
 			}
--- a/standin/resultwriter/resultwriter.go
+++ b/standin/resultwriter/resultwriter.go
@@ -65,7 +65,7 @@
 		if !ok {
 			return
 		}
-		batch := w.inbox.Take([]core.Told{first})
+		batch := w.inbox.TakeAll([]core.Told{first})
 		for len(batch) > 0 {
 			n := min(len(batch), batchSize)
 			w.pass(ctx, batch[:n])
