--- a/cassiatally/looper/looper.go
+++ b/cassiatally/looper/looper.go
@@ -36,7 +36,7 @@
 	// Tick is called at multiples of Interval, and at the time that NextWake
 	// returns when NextWake is set.
 	Tick     func(now cassiatally.Instant)
-	Every    time.Duration
+	Interval time.Duration
 	NextWake func() (cassiatally.Instant, bool)
 
 	running sync.WaitGroup
@@ -45,7 +45,7 @@
 }
 
 // Start starts the goroutine of the duty and returns.
-func (l *Looper[T]) Run() {
+func (l *Looper[T]) Start() {
 	l.next = l.nextTick(l.Clock.Now())
 	l.running.Go(l.loop)
 }
@@ -57,7 +57,7 @@
 }
 
 func (l *Looper[T]) loop() {
-	timer := time.NewTimer(l.Every)
+	timer := time.NewTimer(l.Interval)
 	defer timer.Stop()
 	for {
 		timer.Reset(l.untilWake())
@@ -99,7 +99,7 @@
 // nextTick returns the next multiple of Interval. Duties with the same interval
 // then tick at the same time, so that the process wakes up once for all of them.
 func (l *Looper[T]) nextTick(now cassiatally.Instant) cassiatally.Instant {
-	return now.Add(l.Every - time.Duration(now)%l.Every)
+	return now.Add(l.Interval - time.Duration(now)%l.Interval)
 }
 
 func (l *Looper[T]) tickIfDue() {
--- a/cassiatally/looper/looper_test.go
+++ b/cassiatally/looper/looper_test.go
@@ -41,9 +41,9 @@
 			default:
 			}
 		},
-		Every: interval,
+		Interval: interval,
 	}
-	l.Run()
+	l.Start()
 	for range 8 {
 		now := <-ticks
 		is.True(time.Duration(now)%interval < 2*step)
--- a/node/claimkeeper/claimkeeper.go
+++ b/node/claimkeeper/claimkeeper.go
@@ -90,13 +90,13 @@
 	k.pulledAt = make(map[cassiatally.DataCentre]cassiatally.Instant)
 	k.view.Store(&shardView{home: k.DataCentre, own: k.Assigner.Snapshot()})
 	k.duty = looper.Looper[event]{
-		Clock:  k.Clock,
-		Inbox:  k.inbox,
-		Handle: func(now cassiatally.Instant, e event) { e.apply(k, now) },
-		Tick:   k.tick,
-		Every:  tickEvery,
+		Clock:    k.Clock,
+		Inbox:    k.inbox,
+		Handle:   func(now cassiatally.Instant, e event) { e.apply(k, now) },
+		Tick:     k.tick,
+		Interval: tickEvery,
 	}
-	k.duty.Run()
+	k.duty.Start()
 	k.helpers.Go(k.serveAppends)
 }
 
--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -123,10 +123,10 @@
 		Inbox:    d.inbox,
 		Handle:   func(now cassiatally.Instant, e event) { e.apply(d, now) },
 		Tick:     d.tick,
-		Every:    tickEvery,
+		Interval: tickEvery,
 		NextWake: d.Router.NextWake,
 	}
-	d.duty.Run()
+	d.duty.Start()
 }
 
 // Refused returns how many messages found no room in the inbox.
--- a/node/executor/executor.go
+++ b/node/executor/executor.go
@@ -151,16 +151,16 @@
 	x.counts.Store(&runner.Counts{})
 	x.marked.Store(&marked{})
 	x.duty = looper.Looper[event]{
-		Clock:  x.Clock,
-		Inbox:  x.inbox,
-		Handle: func(now cassiatally.Instant, e event) { e.apply(x, now) },
-		Tick:   x.tick,
-		Every:  tickEvery,
+		Clock:    x.Clock,
+		Inbox:    x.inbox,
+		Handle:   func(now cassiatally.Instant, e event) { e.apply(x, now) },
+		Tick:     x.tick,
+		Interval: tickEvery,
 		NextWake: func() (cassiatally.Instant, bool) {
 			return x.ticked.Add(queueTick), x.Runner.Queued() > 0
 		},
 	}
-	x.duty.Run()
+	x.duty.Start()
 }
 
 // Refused returns how many messages found no room in the inbox.
--- a/node/gatekeeper/flusher.go
+++ b/node/gatekeeper/flusher.go
@@ -16,13 +16,13 @@
 // Run starts the duty.
 func (f *flusher) Run() {
 	f.duty = looper.Looper[struct{}]{
-		Clock:  f.clock,
-		Inbox:  ring.New[struct{}](1, ring.RefuseNewest),
-		Handle: func(cassiatally.Instant, struct{}) {},
-		Tick:   func(cassiatally.Instant) { f.flush() },
-		Every:  flushEvery,
+		Clock:    f.clock,
+		Inbox:    ring.New[struct{}](1, ring.RefuseNewest),
+		Handle:   func(cassiatally.Instant, struct{}) {},
+		Tick:     func(cassiatally.Instant) { f.flush() },
+		Interval: flushEvery,
 	}
-	f.duty.Run()
+	f.duty.Start()
 }
 
 // Close stops the duty and waits for it.
--- a/node/instancekeeper/instancekeeper.go
+++ b/node/instancekeeper/instancekeeper.go
@@ -98,13 +98,13 @@
 	service := k.Service
 	k.service.Store(&service)
 	k.duty = looper.Looper[event]{
-		Clock:  k.Clock,
-		Inbox:  k.inbox,
-		Handle: func(now cassiatally.Instant, e event) { e.apply(k, now) },
-		Tick:   func(cassiatally.Instant) { k.probeExpected() },
-		Every:  tickEvery,
+		Clock:    k.Clock,
+		Inbox:    k.inbox,
+		Handle:   func(now cassiatally.Instant, e event) { e.apply(k, now) },
+		Tick:     func(cassiatally.Instant) { k.probeExpected() },
+		Interval: tickEvery,
 	}
-	k.duty.Run()
+	k.duty.Start()
 }
 
 // Close stops the duty and waits for it and its health checks.
--- a/node/memberkeeper/memberkeeper.go
+++ b/node/memberkeeper/memberkeeper.go
@@ -78,13 +78,13 @@
 	k.known = make(map[cassiatally.NodeID]cassiatally.Incarnation)
 	k.view.Store(k.Registrar.View(k.Clock.Now()))
 	k.duty = looper.Looper[event]{
-		Clock:  k.Clock,
-		Inbox:  k.inbox,
-		Handle: func(now cassiatally.Instant, e event) { e.apply(k, now) },
-		Tick:   k.tick,
-		Every:  tickEvery,
+		Clock:    k.Clock,
+		Inbox:    k.inbox,
+		Handle:   func(now cassiatally.Instant, e event) { e.apply(k, now) },
+		Tick:     k.tick,
+		Interval: tickEvery,
 	}
-	k.duty.Run()
+	k.duty.Start()
 }
 
 // Refused returns how many messages found no room in the inbox.
--- a/node/routekeeper/routekeeper.go
+++ b/node/routekeeper/routekeeper.go
@@ -79,13 +79,13 @@
 	k.ctx, k.cancel = context.WithCancel(context.Background())
 	k.inbox = ring.New[event](inboxSize, ring.RefuseNewest)
 	k.duty = looper.Looper[event]{
-		Clock:  k.Clock,
-		Inbox:  k.inbox,
-		Handle: func(now cassiatally.Instant, e event) { e.apply(k, now) },
-		Tick:   func(cassiatally.Instant) {},
-		Every:  tickEvery,
+		Clock:    k.Clock,
+		Inbox:    k.inbox,
+		Handle:   func(now cassiatally.Instant, e event) { e.apply(k, now) },
+		Tick:     func(cassiatally.Instant) {},
+		Interval: tickEvery,
 	}
-	k.duty.Run()
+	k.duty.Start()
 	k.follow.Go(k.readSource)
 }
 
--- a/node/sampler/sampler.go
+++ b/node/sampler/sampler.go
@@ -37,13 +37,13 @@
 func (s *Sampler) Run() {
 	s.totals = make(map[string]uint64)
 	s.duty = looper.Looper[struct{}]{
-		Clock:  s.Clock,
-		Inbox:  ring.New[struct{}](1, ring.RefuseNewest),
-		Handle: func(cassiatally.Instant, struct{}) {},
-		Tick:   s.tick,
-		Every:  every,
+		Clock:    s.Clock,
+		Inbox:    ring.New[struct{}](1, ring.RefuseNewest),
+		Handle:   func(cassiatally.Instant, struct{}) {},
+		Tick:     s.tick,
+		Interval: every,
 	}
-	s.duty.Run()
+	s.duty.Start()
 }
 
 // Close stops the duty and waits for it.
--- a/node/sheetkeeper/sheetkeeper.go
+++ b/node/sheetkeeper/sheetkeeper.go
@@ -89,13 +89,13 @@
 	k.inbox = ring.New[event](inboxSize, ring.Wait)
 	k.appends = ring.New[cassiatally.SheetRecord](appendRing, ring.RefuseNewest)
 	k.duty = looper.Looper[event]{
-		Clock:  k.Clock,
-		Inbox:  k.inbox,
-		Handle: func(now cassiatally.Instant, e event) { e.apply(k, now) },
-		Tick:   func(now cassiatally.Instant) { k.carryOut(k.Follower.Tick(now)) },
-		Every:  tickEvery,
+		Clock:    k.Clock,
+		Inbox:    k.inbox,
+		Handle:   func(now cassiatally.Instant, e event) { e.apply(k, now) },
+		Tick:     func(now cassiatally.Instant) { k.carryOut(k.Follower.Tick(now)) },
+		Interval: tickEvery,
 	}
-	k.duty.Run()
+	k.duty.Start()
 	k.helpers.Go(k.serveAppends)
 }
 
