--- a/cassiatally/protocol/codec.go
+++ b/cassiatally/protocol/codec.go
@@ -22,7 +22,7 @@
 	// Version is the version of the protocol that Encode writes.
 	Version = 1
 	// MaxFrameBytes bounds a frame: a body and its envelope.
-	MaxFrame = cassiatally.MaxBody + 64<<10
+	MaxFrameBytes = cassiatally.MaxBody + 64<<10
 
 	// arrayOfThree is the first byte of a CBOR array of three elements. The version
 	// and the message type follow as one byte each, as CBOR encodes numbers below 24.
@@ -82,16 +82,16 @@
 	out := make([]byte, 0, frameHeader+len(body))
 	out = append(out, arrayOfThree, Version, byte(t))
 	out = append(out, body...)
-	if len(out) > MaxFrame {
-		return nil, cassiatally.NewError(cassiatally.KindTooLarge, "frame of %d bytes exceeds %d", len(out), MaxFrame)
+	if len(out) > MaxFrameBytes {
+		return nil, cassiatally.NewError(cassiatally.KindTooLarge, "frame of %d bytes exceeds %d", len(out), MaxFrameBytes)
 	}
 	return out, nil
 }
 
 // Decode returns the message in a frame.
 func (c *Codec) Decode(data []byte) (cassiatally.Message, error) {
-	if len(data) > MaxFrame {
-		return nil, cassiatally.NewError(cassiatally.KindTooLarge, "frame of %d bytes exceeds %d", len(data), MaxFrame)
+	if len(data) > MaxFrameBytes {
+		return nil, cassiatally.NewError(cassiatally.KindTooLarge, "frame of %d bytes exceeds %d", len(data), MaxFrameBytes)
 	}
 	var f frame
 	if err := c.dec.Unmarshal(data, &f); err != nil {
--- a/cassiatally/protocol/codec_test.go
+++ b/cassiatally/protocol/codec_test.go
@@ -94,7 +94,7 @@
 		{"wrong field type", encode([]any{1, 2, map[int]string{1: "one"}}), cassiatally.KindProtocol},
 		{"duplicate field", []byte{0x83, 1, 2, 0xa2, 1, 1, 1, 2}, cassiatally.KindProtocol},
 		{"huge array length", []byte{0x83, 1, 13, 0xa1, 1, 0x9b, 0, 0, 0, 1, 0, 0, 0, 0}, cassiatally.KindProtocol},
-		{"too large", make([]byte, protocol.MaxFrame+1), cassiatally.KindTooLarge},
+		{"too large", make([]byte, protocol.MaxFrameBytes+1), cassiatally.KindTooLarge},
 	}
 	c, err := protocol.New()
 	is.New(t).NoErr(err)
--- a/node/linker/link.go
+++ b/node/linker/link.go
@@ -75,7 +75,7 @@
 
 // greet exchanges Hello frames.
 func (k *link) greet(ctx context.Context, conn *websocket.Conn) error {
-	conn.SetReadLimit(protocol.MaxFrame)
+	conn.SetReadLimit(protocol.MaxFrameBytes)
 	k.mu.Lock()
 	k.conn = conn
 	k.mu.Unlock()
--- a/standin/frameproxy/link.go
+++ b/standin/frameproxy/link.go
@@ -79,7 +79,7 @@
 		m        *mixer
 		from, to *websocket.Conn
 	}{{l.up, near, far}, {l.down, far, near}} {
-		d.from.SetReadLimit(protocol.MaxFrame)
+		d.from.SetReadLimit(protocol.MaxFrameBytes)
 		wg.Go(func() {
 			defer l.cancel()
 			d.m.read(l.ctx, d.from)
