--- a/cassiatally/settingsloader/loader.go
+++ b/cassiatally/settingsloader/loader.go
@@ -41,7 +41,7 @@
 	// Key is the path of the key, such as listen.links.
 	Key string
 	// Message says what is wrong, and Fix how to correct it.
-	Wrong, Right string
+	Message, Fix string
 }
 
 // Load returns the settings in data with defaults filled in, or an Error of
@@ -53,7 +53,7 @@
 	}
 	lines := make([]string, len(problems))
 	for i, p := range problems {
-		lines[i] = fmt.Sprintf("%s:%d:%d: %s: %s; %s", l.File, p.Line, p.Column, p.Key, p.Wrong, p.Right)
+		lines[i] = fmt.Sprintf("%s:%d:%d: %s: %s; %s", l.File, p.Line, p.Column, p.Key, p.Message, p.Fix)
 	}
 	return Settings{}, cassiatally.NewError(cassiatally.KindInvalidSettings, "%s", strings.Join(lines, "\n"))
 }
--- a/cassiatally/settingsloader/loader_test.go
+++ b/cassiatally/settingsloader/loader_test.go
@@ -77,8 +77,8 @@
 			p := problems[0]
 			is.Equal([]int{p.Line, p.Column}, []int{c.line, c.column})
 			is.Equal(p.Key, c.key)
-			is.True(strings.Contains(p.Wrong, c.message)) // says what is wrong
-			is.True(p.Right != "")
+			is.True(strings.Contains(p.Message, c.message)) // says what is wrong
+			is.True(p.Fix != "")
 		})
 	}
 }
@@ -115,7 +115,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, problems := settingsloader.Check(data)
 		for _, p := range problems {
-			if p.Line < 1 || p.Column < 1 || p.Wrong == "" || p.Right == "" {
+			if p.Line < 1 || p.Column < 1 || p.Message == "" || p.Fix == "" {
 				t.Fatalf("incomplete problem %+v", p)
 			}
 		}
--- a/cassiatally/sheetparser/parser.go
+++ b/cassiatally/sheetparser/parser.go
@@ -99,11 +99,11 @@
 }
 
 func (p *Parser) errorAt(at Position, c sheet.Column, message, fix string) {
-	p.report.add(Problem{File: p.file, Position: at, Severity: SeverityError, Field: c, Wrong: message, Right: fix})
+	p.report.add(Problem{File: p.file, Position: at, Severity: SeverityError, Field: c, Message: message, Fix: fix})
 }
 
 func (p *Parser) warnAt(at Position, c sheet.Column, message, fix string) {
-	p.report.add(Problem{File: p.file, Position: at, Severity: SeverityWarning, Field: c, Wrong: message, Right: fix})
+	p.report.add(Problem{File: p.file, Position: at, Severity: SeverityWarning, Field: c, Message: message, Fix: fix})
 }
 
 // findColumn returns the column of a name and reports an error when there is none.
--- a/cassiatally/sheetparser/parser_test.go
+++ b/cassiatally/sheetparser/parser_test.go
@@ -84,7 +84,7 @@
 			var got []string
 			for _, p := range report.Errors {
 				got = append(got, fmt.Sprintf("%d:%d %s", p.Line, p.Column, p.Field))
-				is.True(p.Wrong != "" && p.Right != "")
+				is.True(p.Message != "" && p.Fix != "")
 			}
 			is.Equal(strings.Join(got, "\n"), strings.Join(c.want, "\n"))
 			is.Equal(len(s.Rows), 0)
@@ -124,7 +124,7 @@
 			for i, w := range c.want {
 				line, text, _ := strings.Cut(w, ": ")
 				is.Equal(fmt.Sprint(report.Warnings[i].Line), line)
-				is.True(strings.Contains(report.Warnings[i].Wrong, text))
+				is.True(strings.Contains(report.Warnings[i].Message, text))
 			}
 		})
 	}
--- a/cassiatally/sheetparser/report.go
+++ b/cassiatally/sheetparser/report.go
@@ -34,8 +34,8 @@
 	Severity Severity     `json:"severity"`
 	Field    sheet.Column `json:"field,omitempty"`
 	// Message says what is wrong, and Fix how to correct it.
-	Wrong string `json:"wrong"`
-	Right string `json:"right"`
+	Message string `json:"wrong"`
+	Fix     string `json:"right"`
 }
 
 // String returns the problem in one line.
@@ -44,7 +44,7 @@
 	if p.Field != "" {
 		field = string(p.Field) + ": "
 	}
-	return fmt.Sprintf("%s:%d:%d: %s: %s%s; %s", p.File, p.Line, p.Column, p.Severity, field, p.Wrong, p.Right)
+	return fmt.Sprintf("%s:%d:%d: %s: %s%s; %s", p.File, p.Line, p.Column, p.Severity, field, p.Message, p.Fix)
 }
 
 // Report has the problems of a sheet, errors in the order in which they were
--- a/operator/command/settings/check/check.go
+++ b/operator/command/settings/check/check.go
@@ -75,14 +75,14 @@
 func describe(file string, problems []settingsloader.Problem) output {
 	out := output{Valid: len(problems) == 0, Problems: []outputProblem{}}
 	for _, p := range problems {
-		out.Problems = append(out.Problems, outputProblem{file, p.Line, p.Column, p.Key, p.Wrong, p.Right})
+		out.Problems = append(out.Problems, outputProblem{file, p.Line, p.Column, p.Key, p.Message, p.Fix})
 	}
 	return out
 }
 
 func printText(o *Options, problems []settingsloader.Problem) error {
 	for _, p := range problems {
-		if _, err := fmt.Fprintf(o.Env.Stdout, "%s:%d:%d: error: %s: %s; %s\n", o.File, p.Line, p.Column, p.Key, p.Wrong, p.Right); err != nil {
+		if _, err := fmt.Fprintf(o.Env.Stdout, "%s:%d:%d: error: %s: %s; %s\n", o.File, p.Line, p.Column, p.Key, p.Message, p.Fix); err != nil {
 			return err
 		}
 	}
--- a/operator/settingssource/source.go
+++ b/operator/settingssource/source.go
@@ -35,5 +35,5 @@
 	}
 	p := problems[0]
 	return cassiatally.NewError(cassiatally.KindInvalidSettings, "%s has %d problems, the first at line %d, column %d: %s: %s; run cassiatally settings check %s to see all",
-		name, len(problems), p.Line, p.Column, p.Key, p.Wrong, name)
+		name, len(problems), p.Line, p.Column, p.Key, p.Message, name)
 }
