--- a/cassiatally/sheetdiffer/differ.go
+++ b/cassiatally/sheetdiffer/differ.go
@@ -164,7 +164,7 @@
 
 // ChangeRows converts the changes for JSON. The result is never nil, so that it is
 // encoded as an empty array when there are no changes.
-func Rows(changes []Change) []ChangeRow {
+func ChangeRows(changes []Change) []ChangeRow {
 	rows := make([]ChangeRow, 0, len(changes))
 	for _, c := range changes {
 		row := ChangeRow{Operation: c.Operation, Row: map[sheet.Column]string{}, Fields: c.Fields}
--- a/operator/command/sheet/diff/diff.go
+++ b/operator/command/sheet/diff/diff.go
@@ -74,7 +74,7 @@
 	var d sheetdiffer.Differ
 	changes := d.Diff(before, after)
 	if o.JSON {
-		return json.NewEncoder(o.Env.Stdout).Encode(sheetdiffer.Rows(changes))
+		return json.NewEncoder(o.Env.Stdout).Encode(sheetdiffer.ChangeRows(changes))
 	}
 	_, err = fmt.Fprint(o.Env.Stdout, d.Text(changes))
 	return err
--- a/operator/command/sheet/publish/publish.go
+++ b/operator/command/sheet/publish/publish.go
@@ -157,7 +157,7 @@
 		changes = d.Diff(winner, s)
 	}
 	if o.JSON {
-		out := output{false, c.Winner.Version, c.Winner.Digest.String(), c.Winner.Publisher, sheetdiffer.Rows(changes)}
+		out := output{false, c.Winner.Version, c.Winner.Digest.String(), c.Winner.Publisher, sheetdiffer.ChangeRows(changes)}
 		return errors.CombineErrors(c, json.NewEncoder(o.Env.Stdout).Encode(out))
 	}
 	fmt.Fprint(o.Env.Stdout, d.Text(changes))
