--- a/cassiatally/ring/ring.go
+++ b/cassiatally/ring/ring.go
@@ -55,7 +55,7 @@
 
 	policy Policy
 	ready  chan struct{}
-	room   chan struct{}
+	space  chan struct{}
 	done   chan struct{}
 
 	mu      sync.Mutex
@@ -74,7 +74,7 @@
 	return &Ring[T]{
 		policy:  p,
 		ready:   make(chan struct{}, 1),
-		room:    make(chan struct{}, 1),
+		space:   make(chan struct{}, 1),
 		done:    make(chan struct{}),
 		entries: make([]T, capacity),
 	}
@@ -89,7 +89,7 @@
 			return accepted
 		}
 		select {
-		case <-r.room:
+		case <-r.space:
 		case <-r.done:
 			return false
 		case <-ctx.Done():
@@ -142,7 +142,7 @@
 	if more && r.policy == Wait {
 		// space holds at most one token and a token wakes one sender, so a sender
 		// that leaves places free wakes the next one.
-		signal(r.room)
+		signal(r.space)
 	}
 	if evicted && r.Dropped != nil {
 		r.Dropped(victim)
@@ -193,7 +193,7 @@
 	r.n = 0
 	r.mu.Unlock()
 	if removed && r.policy == Wait {
-		signal(r.room)
+		signal(r.space)
 	}
 	return buf
 }
@@ -233,7 +233,7 @@
 		signal(r.ready)
 	}
 	if r.policy == Wait {
-		signal(r.room)
+		signal(r.space)
 	}
 	return v, true, false
 }
