--- a/cassiatally/looper/looper.go
+++ b/cassiatally/looper/looper.go
@@ -39,14 +39,14 @@
 	Interval time.Duration
 	NextWake func() (cassiatally.Instant, bool)
 
-	running sync.WaitGroup
-	batch   []T
-	next    cassiatally.Instant
+	running    sync.WaitGroup
+	batch      []T
+	nextTickAt cassiatally.Instant
 }
 
 // Start starts the goroutine of the duty and returns.
 func (l *Looper[T]) Start() {
-	l.next = l.nextTick(l.Clock.Now())
+	l.nextTickAt = l.nextTick(l.Clock.Now())
 	l.running.Go(l.loop)
 }
 
@@ -87,7 +87,7 @@
 }
 
 func (l *Looper[T]) untilWake() time.Duration {
-	wake := l.next
+	wake := l.nextTickAt
 	if l.NextWake != nil {
 		if at, ok := l.NextWake(); ok && at.Before(wake) {
 			wake = at
@@ -104,7 +104,7 @@
 
 func (l *Looper[T]) tickIfDue() {
 	now := l.Clock.Now()
-	due := now.Reached(l.next)
+	due := now.Reached(l.nextTickAt)
 	if !due && l.NextWake != nil {
 		at, ok := l.NextWake()
 		due = ok && now.Reached(at)
@@ -112,8 +112,8 @@
 	if !due {
 		return
 	}
-	if now.Reached(l.next) {
-		l.next = l.nextTick(now)
+	if now.Reached(l.nextTickAt) {
+		l.nextTickAt = l.nextTick(now)
 	}
 	l.Tick(now)
 }
--- a/cassiatally/looper/looper_test.go
+++ b/cassiatally/looper/looper_test.go
@@ -16,14 +16,14 @@
 const step = time.Millisecond
 
 // steppingClock advances by one step with each reading and stands still otherwise.
-type jumpClock struct{ now cassiatally.Instant }
+type steppingClock struct{ now cassiatally.Instant }
 
-func (c *jumpClock) Now() cassiatally.Instant {
+func (c *steppingClock) Now() cassiatally.Instant {
 	c.now = c.now.Add(step)
 	return c.now
 }
 
-func (c *jumpClock) Wall() time.Time { return time.Time{} }
+func (c *steppingClock) Wall() time.Time { return time.Time{} }
 
 // Guards against ticks that are not at multiples of the interval: each duty of the
 // process would then tick at a different time and wake the process separately.
@@ -32,7 +32,7 @@
 	const interval = 10 * time.Millisecond
 	ticks := make(chan cassiatally.Instant, 64)
 	l := &looper.Looper[int]{
-		Clock:  &jumpClock{now: cassiatally.Instant(time.Hour + 3*time.Millisecond)},
+		Clock:  &steppingClock{now: cassiatally.Instant(time.Hour + 3*time.Millisecond)},
 		Inbox:  ring.New[int](1, ring.RefuseNewest),
 		Handle: func(cassiatally.Instant, int) {},
 		Tick: func(now cassiatally.Instant) {
