--- a/cassiatally/protocol/codec.go
+++ b/cassiatally/protocol/codec.go
@@ -26,8 +26,8 @@
 
 	// arrayOfThree is the first byte of a CBOR array of three elements. The version
 	// and the message type follow as one byte each, as CBOR encodes numbers below 24.
-	arrayOfThree = 0x83
-	frameHeader  = 3
+	arrayOfThree     = 0x83
+	frameHeaderBytes = 3
 
 	maxArrayElements = 1 << 14
 	maxMapPairs      = 1 << 10
@@ -79,7 +79,7 @@
 	}
 	// The frame is put together by hand: its first two elements are numbers of one
 	// byte, and marshalling the array would copy and check the body once more.
-	out := make([]byte, 0, frameHeader+len(body))
+	out := make([]byte, 0, frameHeaderBytes+len(body))
 	out = append(out, arrayOfThree, Version, byte(t))
 	out = append(out, body...)
 	if len(out) > MaxFrameBytes {
--- a/cassiatally/protocol/codec_test.go
+++ b/cassiatally/protocol/codec_test.go
@@ -13,7 +13,7 @@
 	"github.com/cassiatally/cassiatally/cassiatally/protocol"
 )
 
-func messages() []cassiatally.Message {
+func sampleMessages() []cassiatally.Message {
 	ref := cassiatally.NodeRef{Node: "depot-1", Incarnation: 7}
 	id := cassiatally.CallID{Origin: 7, Seq: 9}
 	shard := cassiatally.ShardRef{DataCentre: "north", Shard: 3}
@@ -60,7 +60,7 @@
 func TestMessagesRoundTrip(t *testing.T) {
 	c, err := protocol.New()
 	is.New(t).NoErr(err)
-	for _, m := range messages() {
+	for _, m := range sampleMessages() {
 		t.Run(fmt.Sprintf("%T", m), func(t *testing.T) {
 			is := is.New(t)
 			frame, err := c.Encode(m)
@@ -115,7 +115,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	for _, m := range messages() {
+	for _, m := range sampleMessages() {
 		frame, err := c.Encode(m)
 		if err != nil {
 			f.Fatal(err)
--- a/cassiatally/protocol/types.go
+++ b/cassiatally/protocol/types.go
@@ -105,7 +105,7 @@
 	}
 }
 
-func each[A, B any](in []A, convert func(A) B) []B {
+func convertAll[A, B any](in []A, convert func(A) B) []B {
 	if in == nil {
 		return nil
 	}
@@ -116,7 +116,7 @@
 	return out
 }
 
-func pointerTo[A, B any](in *A, convert func(A) B) *B {
+func convertPointer[A, B any](in *A, convert func(A) B) *B {
 	if in == nil {
 		return nil
 	}
--- a/cassiatally/protocol/wire.go
+++ b/cassiatally/protocol/wire.go
@@ -224,7 +224,7 @@
 		Key:         m.Key,
 		Fingerprint: m.Fingerprint,
 		State:       m.State,
-		Answer:      pointerTo(m.Answer, toAnswer),
+		Answer:      convertPointer(m.Answer, toAnswer),
 	}
 }
 
@@ -233,7 +233,7 @@
 		Key:         w.Key,
 		Fingerprint: w.Fingerprint,
 		State:       w.State,
-		Answer:      pointerTo(w.Answer, fromAnswer),
+		Answer:      convertPointer(w.Answer, fromAnswer),
 	}
 }
 
@@ -312,7 +312,7 @@
 		Digest:     m.Digest,
 		Method:     m.Head.Method,
 		Target:     m.Head.Target,
-		Fields:     each(m.Head.Fields, toField),
+		Fields:     convertAll(m.Head.Fields, toField),
 		Caller:     m.Caller,
 		Name:       m.Name,
 		Repeated:   m.Repeated,
@@ -335,7 +335,7 @@
 		Retries:    w.Retries,
 		Depth:      w.Depth,
 		Attempt:    w.Attempt,
-		Head:       cassiatally.Head{Method: w.Method, Target: w.Target, Fields: each(w.Fields, fromField)},
+		Head:       cassiatally.Head{Method: w.Method, Target: w.Target, Fields: convertAll(w.Fields, fromField)},
 		Caller:     w.Caller,
 		Name:       w.Name,
 		Repeated:   w.Repeated,
@@ -375,9 +375,9 @@
 		RetryAfter:   m.RetryAfter,
 		RetriesSpent: m.RetriesSpent,
 		Endpoint:     toEndpointLoad(m.Endpoint),
-		Loads:        each(m.Loads, toServiceLoad),
+		Loads:        convertAll(m.Loads, toServiceLoad),
 		Request:      m.Request,
-		Fields:       each(m.Fields, toField),
+		Fields:       convertAll(m.Fields, toField),
 		OwnFailure:   m.OwnFailure,
 	}
 }
@@ -395,9 +395,9 @@
 		RetryAfter:   w.RetryAfter,
 		RetriesSpent: w.RetriesSpent,
 		Endpoint:     fromEndpointLoad(w.Endpoint),
-		Loads:        each(w.Loads, fromServiceLoad),
+		Loads:        convertAll(w.Loads, fromServiceLoad),
 		Request:      w.Request,
-		Fields:       each(w.Fields, fromField),
+		Fields:       convertAll(w.Fields, fromField),
 		OwnFailure:   w.OwnFailure,
 	}
 }
@@ -466,9 +466,9 @@
 	return wireGossip{
 		From:        toNodeRef(m.From),
 		Reply:       m.Reply,
-		Members:     each(m.Members, toMember),
+		Members:     convertAll(m.Members, toMember),
 		Sheet:       m.Sheet,
-		Crashes:     each(m.Crashes, toCrashReport),
+		Crashes:     convertAll(m.Crashes, toCrashReport),
 		ShardEpochs: m.ShardEpochs,
 		CrashNews:   uint64(m.CrashNews),
 		CrashAck:    uint64(m.CrashAck),
@@ -479,9 +479,9 @@
 	return cassiatally.Gossip{
 		From:        fromNodeRef(w.From),
 		Reply:       w.Reply,
-		Members:     each(w.Members, fromMember),
+		Members:     convertAll(w.Members, fromMember),
 		Sheet:       w.Sheet,
-		Crashes:     each(w.Crashes, fromCrashReport),
+		Crashes:     convertAll(w.Crashes, fromCrashReport),
 		ShardEpochs: w.ShardEpochs,
 		CrashNews:   cassiatally.CrashNumber(w.CrashNews),
 		CrashAck:    cassiatally.CrashNumber(w.CrashAck),
@@ -524,14 +524,14 @@
 
 func toShardTable(m cassiatally.ShardTable) wireShardTable {
 	return wireShardTable{
-		Assignments: each(m.Assignments, toAssignment),
+		Assignments: convertAll(m.Assignments, toAssignment),
 		Next:        m.Next,
 	}
 }
 
 func fromShardTable(w wireShardTable) cassiatally.ShardTable {
 	return cassiatally.ShardTable{
-		Assignments: each(w.Assignments, fromAssignment),
+		Assignments: convertAll(w.Assignments, fromAssignment),
 		Next:        w.Next,
 	}
 }
@@ -609,7 +609,7 @@
 		From:         toNodeRef(m.From),
 		Seq:          m.Seq,
 		CompleteFrom: m.CompleteFrom,
-		Claims:       each(m.Claims, toClaim),
+		Claims:       convertAll(m.Claims, toClaim),
 		Last:         m.Last,
 	}
 }
@@ -621,7 +621,7 @@
 		From:         fromNodeRef(w.From),
 		Seq:          w.Seq,
 		CompleteFrom: w.CompleteFrom,
-		Claims:       each(w.Claims, fromClaim),
+		Claims:       convertAll(w.Claims, fromClaim),
 		Last:         w.Last,
 	}
 }
--- a/cassiatally/protocol/wireroutes.go
+++ b/cassiatally/protocol/wireroutes.go
@@ -6,42 +6,42 @@
 	"github.com/cassiatally/cassiatally/cassiatally"
 )
 
-type wireWeighted struct {
+type wireWeightedService struct {
 	_       struct{} `cbor:",toarray"`
 	Service cassiatally.Service
 	Weight  float64
 }
 
-func toWeighted(m cassiatally.WeightedService) wireWeighted {
-	return wireWeighted{Service: m.Service, Weight: m.Weight}
+func toWeightedService(m cassiatally.WeightedService) wireWeightedService {
+	return wireWeightedService{Service: m.Service, Weight: m.Weight}
 }
 
-func fromWeighted(w wireWeighted) cassiatally.WeightedService {
+func fromWeightedService(w wireWeightedService) cassiatally.WeightedService {
 	return cassiatally.WeightedService{Service: w.Service, Weight: w.Weight}
 }
 
 type wireRoute struct {
-	Name       cassiatally.WorkKind `cbor:"1,keyasint,omitempty"`
-	Host       string               `cbor:"2,keyasint,omitempty"`
-	Prefix     string               `cbor:"3,keyasint,omitempty"`
-	Services   []wireWeighted       `cbor:"4,keyasint,omitempty"`
-	Idempotent bool                 `cbor:"5,keyasint,omitempty"`
-	Timeout    time.Duration        `cbor:"6,keyasint,omitempty"`
-	Target     time.Duration        `cbor:"7,keyasint,omitempty"`
-	Rank       cassiatally.Rank     `cbor:"8,keyasint,omitempty"`
-	Attempts   int                  `cbor:"9,keyasint,omitempty"`
+	Name       cassiatally.WorkKind  `cbor:"1,keyasint,omitempty"`
+	Host       string                `cbor:"2,keyasint,omitempty"`
+	Prefix     string                `cbor:"3,keyasint,omitempty"`
+	Services   []wireWeightedService `cbor:"4,keyasint,omitempty"`
+	Idempotent bool                  `cbor:"5,keyasint,omitempty"`
+	Timeout    time.Duration         `cbor:"6,keyasint,omitempty"`
+	Target     time.Duration         `cbor:"7,keyasint,omitempty"`
+	Rank       cassiatally.Rank      `cbor:"8,keyasint,omitempty"`
+	Attempts   int                   `cbor:"9,keyasint,omitempty"`
 }
 
 func toRoute(m cassiatally.Route) wireRoute {
 	return wireRoute{
-		Name: m.Name, Host: m.Host, Prefix: m.Prefix, Services: each(m.Services, toWeighted), Idempotent: m.Idempotent,
+		Name: m.Name, Host: m.Host, Prefix: m.Prefix, Services: convertAll(m.Services, toWeightedService), Idempotent: m.Idempotent,
 		Timeout: m.Timeout, Target: m.Target, Rank: m.Rank, Attempts: m.Attempts,
 	}
 }
 
 func fromRoute(w wireRoute) cassiatally.Route {
 	return cassiatally.Route{
-		Name: w.Name, Host: w.Host, Prefix: w.Prefix, Services: each(w.Services, fromWeighted), Idempotent: w.Idempotent,
+		Name: w.Name, Host: w.Host, Prefix: w.Prefix, Services: convertAll(w.Services, fromWeightedService), Idempotent: w.Idempotent,
 		Timeout: w.Timeout, Target: w.Target, Rank: w.Rank, Attempts: w.Attempts,
 	}
 }
@@ -80,8 +80,8 @@
 	l := m.Table.Limits
 	return wireRouteUpdate{
 		Version:  m.Table.Version,
-		Routes:   each(m.Table.Routes, toRoute),
-		Services: each(m.Table.Services, toServiceSpec),
+		Routes:   convertAll(m.Table.Routes, toRoute),
+		Services: convertAll(m.Table.Services, toServiceSpec),
 		Limits:   wireRequestLimits{HeaderBytes: l.HeaderBytes, BodyBytes: l.BodyBytes, HeaderTimeout: l.HeaderTimeout, IdleTimeout: l.IdleTimeout},
 	}
 }
@@ -90,8 +90,8 @@
 	l := w.Limits
 	return cassiatally.RouteUpdate{Table: cassiatally.RouteTable{
 		Version:  w.Version,
-		Routes:   each(w.Routes, fromRoute),
-		Services: each(w.Services, fromServiceSpec),
+		Routes:   convertAll(w.Routes, fromRoute),
+		Services: convertAll(w.Services, fromServiceSpec),
 		Limits:   cassiatally.RequestLimits{HeaderBytes: l.HeaderBytes, BodyBytes: l.BodyBytes, HeaderTimeout: l.HeaderTimeout, IdleTimeout: l.IdleTimeout},
 	}}
 }
