--- a/cassiatally/settingsloader/kinds.go
+++ b/cassiatally/settingsloader/kinds.go
@@ -39,8 +39,8 @@
 // name of the data centre is one of them.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_-]{0,62}$`)
 
-func name[T ~string]() kind[T] {
-	return kind[T]{
+func name[T ~string]() valueFormat[T] {
+	return valueFormat[T]{
 		parse: func(value string) (T, string) {
 			if !namePattern.MatchString(value) {
 				return "", fmt.Sprintf("%q is not a name", value)
@@ -48,23 +48,23 @@
 			return T(value), ""
 		},
 		print: func(v T) string { return quote(string(v)) },
-		right: "write up to 63 letters, digits, hyphens and underscores, such as glasgow-03",
+		fix:   "write up to 63 letters, digits, hyphens and underscores, such as glasgow-03",
 	}
 }
 
-func listenAddress() kind[cassiatally.Address] {
-	return kind[cassiatally.Address]{
+func listenAddress() valueFormat[cassiatally.Address] {
+	return valueFormat[cassiatally.Address]{
 		parse: func(value string) (cassiatally.Address, string) { return parseAddress(value, 0) },
 		print: printAddress,
-		right: "write an IP number and a port, such as 10.1.2.3:7400",
+		fix:   "write an IP number and a port, such as 10.1.2.3:7400",
 	}
 }
 
-func advertisedAddress() kind[cassiatally.Address] {
-	return kind[cassiatally.Address]{
+func advertisedAddress() valueFormat[cassiatally.Address] {
+	return valueFormat[cassiatally.Address]{
 		parse: func(value string) (cassiatally.Address, string) { return parseAddress(value, 1) },
 		print: printAddress,
-		right: "write an IP number and a port from 1 to 65535, such as 10.1.2.3:7402",
+		fix:   "write an IP number and a port from 1 to 65535, such as 10.1.2.3:7402",
 	}
 }
 
@@ -82,20 +82,20 @@
 
 func printAddress(a cassiatally.Address) string { return quote(string(a)) }
 
-func unspecified(a cassiatally.Address) bool {
+func isUnspecified(a cassiatally.Address) bool {
 	parsed, err := netip.ParseAddrPort(string(a))
 	return err == nil && parsed.Addr().IsUnspecified()
 }
 
 // hasKernelPort reports whether the port is 0, so that the kernel chooses it.
-func kernelPort(a cassiatally.Address) bool {
+func hasKernelPort(a cassiatally.Address) bool {
 	parsed, err := netip.ParseAddrPort(string(a))
 	return err == nil && parsed.Port() == 0
 }
 
-func logURL() kind[string] {
+func logURL() valueFormat[string] {
 	const scheme = "http://"
-	return kind[string]{
+	return valueFormat[string]{
 		parse: func(value string) (string, string) {
 			rest, found := strings.CutPrefix(value, scheme)
 			if !found {
@@ -105,12 +105,12 @@
 			return scheme + string(a), message
 		},
 		print: quote,
-		right: "write http:// with an IP number and a port, such as http://10.1.2.3:7500",
+		fix:   "write http:// with an IP number and a port, such as http://10.1.2.3:7500",
 	}
 }
 
-func duration() kind[time.Duration] {
-	return kind[time.Duration]{
+func duration() valueFormat[time.Duration] {
+	return valueFormat[time.Duration]{
 		parse: func(value string) (time.Duration, string) {
 			d, err := time.ParseDuration(value)
 			if err != nil {
@@ -122,7 +122,7 @@
 			return d, ""
 		},
 		print: printDuration,
-		right: "write a number with a unit, from 1ms to 168h, such as 250ms or 10m",
+		fix:   "write a number with a unit, from 1ms to 168h, such as 250ms or 10m",
 	}
 }
 
@@ -137,8 +137,8 @@
 	return s
 }
 
-func byteSize(low, high ByteSize) kind[ByteSize] {
-	return kind[ByteSize]{
+func byteSize(low, high ByteSize) valueFormat[ByteSize] {
+	return valueFormat[ByteSize]{
 		parse: func(value string) (ByteSize, string) {
 			b, ok := parseBytes(value)
 			if !ok {
@@ -150,7 +150,7 @@
 			return b, ""
 		},
 		print: ByteSize.String,
-		right: fmt.Sprintf("write a whole number with B, KiB, MiB or GiB, from %s to %s, such as 512KiB", low, high),
+		fix:   fmt.Sprintf("write a whole number with B, KiB, MiB or GiB, from %s to %s, such as 512KiB", low, high),
 	}
 }
 
@@ -166,8 +166,8 @@
 	return 0, false
 }
 
-func count[T ~int | ~uint8](low, high int) kind[T] {
-	return kind[T]{
+func count[T ~int | ~uint8](low, high int) valueFormat[T] {
+	return valueFormat[T]{
 		parse: func(value string) (T, string) {
 			n, err := strconv.Atoi(value)
 			if err != nil {
@@ -179,12 +179,12 @@
 			return T(n), ""
 		},
 		print: func(v T) string { return strconv.Itoa(int(v)) },
-		right: fmt.Sprintf("write a whole number from %d to %d", low, high),
+		fix:   fmt.Sprintf("write a whole number from %d to %d", low, high),
 	}
 }
 
-func number(low, high float64) kind[float64] {
-	return kind[float64]{
+func number(low, high float64) valueFormat[float64] {
+	return valueFormat[float64]{
 		parse: func(value string) (float64, string) {
 			f, err := strconv.ParseFloat(value, 64)
 			if err != nil {
@@ -197,16 +197,16 @@
 			return f, ""
 		},
 		print: func(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) },
-		right: fmt.Sprintf("write a number from %g to %g", low, high),
+		fix:   fmt.Sprintf("write a number from %g to %g", low, high),
 	}
 }
 
-func oneOf[T ~string](choices ...T) kind[T] {
+func oneOf[T ~string](choices ...T) valueFormat[T] {
 	names := make([]string, len(choices))
 	for i, c := range choices {
 		names[i] = string(c)
 	}
-	return kind[T]{
+	return valueFormat[T]{
 		parse: func(value string) (T, string) {
 			for _, c := range choices {
 				if value == string(c) {
@@ -216,7 +216,7 @@
 			return "", fmt.Sprintf("%q is not a choice", value)
 		},
 		print: func(v T) string { return quote(string(v)) },
-		right: "write one of " + strings.Join(names, ", "),
+		fix:   "write one of " + strings.Join(names, ", "),
 	}
 }
 
--- a/cassiatally/settingsloader/loader.go
+++ b/cassiatally/settingsloader/loader.go
@@ -61,17 +61,17 @@
 // Check returns the settings in data and every problem, ordered by line and
 // column. The settings are valid only when there is no problem.
 func Check(data []byte) (Settings, []Problem) {
-	r := reader{settings: Defaults(), places: map[string]place{}}
+	r := reader{settings: Defaults(), positions: map[string]position{}}
 	file, err := parser.ParseBytes(data, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
-		r.syntax(err)
+		r.addSyntaxError(err)
 		return r.settings, r.problems
 	}
-	r.file(file)
-	r.missing()
+	r.readFile(file)
+	r.checkRequired()
 	if len(r.problems) == 0 {
-		r.derive()
-		r.related()
+		r.deriveDefaults()
+		r.checkRelations()
 	}
 	slices.SortStableFunc(r.problems, func(a, b Problem) int {
 		if a.Line != b.Line {
@@ -83,70 +83,70 @@
 }
 
 // position is a line and a column of the file, both from 1.
-type place struct{ line, column int }
+type position struct{ line, column int }
 
-var start = place{1, 1}
+var fileStart = position{1, 1}
 
-func placeOf(t *token.Token) place {
+func positionOf(t *token.Token) position {
 	if t == nil || t.Position == nil || t.Position.Line < 1 {
-		return start
+		return fileStart
 	}
-	return place{t.Position.Line, max(t.Position.Column, 1)}
+	return position{t.Position.Line, max(t.Position.Column, 1)}
 }
 
 // reader collects settings and problems while it walks the syntax tree.
 type reader struct {
-	settings Settings
-	places   map[string]place
-	problems []Problem
+	settings  Settings
+	positions map[string]position
+	problems  []Problem
 }
 
-func (r *reader) problem(at place, key, message, fix string) {
+func (r *reader) addProblem(at position, key, message, fix string) {
 	r.problems = append(r.problems, Problem{at.line, at.column, key, message, fix})
 }
 
-func (r *reader) syntax(err error) {
+func (r *reader) addSyntaxError(err error) {
 	const fix = "correct the YAML at this place"
 	var syntax *yaml.SyntaxError
 	if errors.As(err, &syntax) {
-		r.problem(placeOf(syntax.Token), "file", syntax.Message, fix)
+		r.addProblem(positionOf(syntax.Token), "file", syntax.Message, fix)
 		return
 	}
 	message, _, _ := strings.Cut(err.Error(), "\n")
-	r.problem(start, "file", message, fix)
+	r.addProblem(fileStart, "file", message, fix)
 }
 
-func (r *reader) file(f *ast.File) {
+func (r *reader) readFile(f *ast.File) {
 	for i, doc := range f.Docs {
 		if i > 0 {
-			r.problem(placeOf(doc.Start), "file", "there is more than one document", "keep one document")
+			r.addProblem(positionOf(doc.Start), "file", "there is more than one document", "keep one document")
 			return
 		}
 		if doc.Body == nil || doc.Body.Type() == ast.CommentType {
 			continue
 		}
-		r.mapping("", doc.Body)
+		r.readMapping("", doc.Body)
 	}
 }
 
 // readMapping reads the keys below prefix, which is empty or a section with a
 // full stop.
-func (r *reader) mapping(prefix string, n ast.Node) {
-	entries, ok := entriesOf(n)
+func (r *reader) readMapping(prefix string, n ast.Node) {
+	entries, ok := mappingEntries(n)
 	if !ok {
 		key := strings.TrimSuffix(prefix, ".")
 		if key == "" {
 			key = "file"
 		}
-		r.problem(placeOf(n.GetToken()), key, "this is not a list of keys", "write keys: "+strings.Join(keysBelow(prefix), ", "))
+		r.addProblem(positionOf(n.GetToken()), key, "this is not a list of keys", "write keys: "+strings.Join(keysBelow(prefix), ", "))
 		return
 	}
 	for _, e := range entries {
-		r.entry(prefix, e)
+		r.readEntry(prefix, e)
 	}
 }
 
-func entriesOf(n ast.Node) ([]*ast.MappingValueNode, bool) {
+func mappingEntries(n ast.Node) ([]*ast.MappingValueNode, bool) {
 	switch n := n.(type) {
 	case *ast.MappingNode:
 		return n.Values, true
@@ -157,31 +157,31 @@
 	}
 }
 
-func (r *reader) entry(prefix string, e *ast.MappingValueNode) {
+func (r *reader) readEntry(prefix string, e *ast.MappingValueNode) {
 	t := e.Key.GetToken()
-	key, at := prefix+t.Value, placeOf(t)
+	key, at := prefix+t.Value, positionOf(t)
 	known := slices.Contains(keysBelow(prefix), t.Value)
 	if !known {
-		r.problem(at, key, "this key is unknown", "use one of "+strings.Join(keysBelow(prefix), ", "))
+		r.addProblem(at, key, "this key is unknown", "use one of "+strings.Join(keysBelow(prefix), ", "))
 		return
 	}
-	if first, duplicate := r.places[key]; duplicate {
-		r.problem(at, key, fmt.Sprintf("the key is already on line %d", first.line), "keep one of them")
+	if first, duplicate := r.positions[key]; duplicate {
+		r.addProblem(at, key, fmt.Sprintf("the key is already on line %d", first.line), "keep one of them")
 		return
 	}
-	r.places[key] = at
-	switch f := fieldAt(key); {
+	r.positions[key] = at
+	switch f := findField(key); {
 	case key == seedsKey:
-		r.seeds(e.Value)
+		r.readSeeds(e.Value)
 	case f != nil:
-		r.value(f, e.Value)
+		r.readValue(f, e.Value)
 	default:
-		r.mapping(key+".", e.Value)
+		r.readMapping(key+".", e.Value)
 	}
 }
 
-func (r *reader) value(f *field, n ast.Node) {
-	text, ok := scalar(n)
+func (r *reader) readValue(f *field, n ast.Node) {
+	text, ok := scalarText(n)
 	message, fix := f.set(&r.settings, text)
 	if !ok {
 		// No value format accepts an empty text, so this returns the fix for the key.
@@ -189,11 +189,11 @@
 		message = "this is not a plain value"
 	}
 	if message != "" {
-		r.problem(placeOf(n.GetToken()), f.path, message, fix)
+		r.addProblem(positionOf(n.GetToken()), f.path, message, fix)
 	}
 }
 
-func scalar(n ast.Node) (text string, ok bool) {
+func scalarText(n ast.Node) (text string, ok bool) {
 	switch n := n.(type) {
 	case *ast.StringNode:
 		return n.Value, true
@@ -204,64 +204,64 @@
 	}
 }
 
-func (r *reader) seeds(n ast.Node) {
+func (r *reader) readSeeds(n ast.Node) {
 	k := advertisedAddress()
 	list, ok := n.(*ast.SequenceNode)
 	if !ok {
-		r.problem(placeOf(n.GetToken()), seedsKey, "this is not a list", "write a list of addresses, such as [10.1.2.3:7402]")
+		r.addProblem(positionOf(n.GetToken()), seedsKey, "this is not a list", "write a list of addresses, such as [10.1.2.3:7402]")
 		return
 	}
 	for _, v := range list.Values {
-		text, _ := scalar(v)
+		text, _ := scalarText(v)
 		a, message := k.parse(text)
 		if message != "" {
-			r.problem(placeOf(v.GetToken()), seedsKey, message, k.right)
+			r.addProblem(positionOf(v.GetToken()), seedsKey, message, k.fix)
 			continue
 		}
 		r.settings.Seeds = append(r.settings.Seeds, a)
 	}
 }
 
-func (r *reader) missing() {
+func (r *reader) checkRequired() {
 	for i := range schema {
 		f := &schema[i]
-		if _, present := r.places[f.path]; present || !f.required {
+		if _, present := r.positions[f.path]; present || !f.required {
 			continue
 		}
 		section, _, _ := strings.Cut(f.path, ".")
-		at, found := r.places[section]
+		at, found := r.positions[section]
 		if !found {
-			at = start
+			at = fileStart
 		}
 		_, fix := f.set(&Settings{}, "")
-		r.problem(at, f.path, "this key is required", fix)
+		r.addProblem(at, f.path, "this key is required", fix)
 	}
 }
 
 // deriveDefaults fills in the defaults that depend on other keys.
-func (r *reader) derive() {
-	if r.settings.Advertise.Links == "" && !kernelPort(r.settings.Listen.Links) {
+func (r *reader) deriveDefaults() {
+	if r.settings.Advertise.Links == "" && !hasKernelPort(r.settings.Listen.Links) {
 		r.settings.Advertise.Links = r.settings.Listen.Links
 	}
 }
 
-func (r *reader) related() {
+func (r *reader) checkRelations() {
 	for _, rel := range relations {
 		if rel.holds(&r.settings) {
 			continue
 		}
-		path, at := rel.paths[0], start
+		path, at := rel.paths[0], fileStart
 		for _, p := range rel.paths {
-			if found, present := r.places[p]; present {
+			if found, present := r.positions[p]; present {
 				path, at = p, found
 				break
 			}
 		}
-		r.problem(at, path, rel.wrong(&r.settings), rel.right)
+		r.addProblem(at, path, rel.message(&r.settings), rel.fix)
 	}
 }
 
-func fieldAt(path string) *field {
+func findField(path string) *field {
 	for i := range schema {
 		if schema[i].path == path {
 			return &schema[i]
--- a/cassiatally/settingsloader/loader_test.go
+++ b/cassiatally/settingsloader/loader_test.go
@@ -12,7 +12,7 @@
 	"github.com/cassiatally/cassiatally/cassiatally/settingsloader"
 )
 
-const smallest = `node: {id: n1, data_centre: east}
+const minimalSettings = `node: {id: n1, data_centre: east}
 listen: {callers: "127.0.0.1:1", links: "127.0.0.1:2"}
 log: {address: "http://127.0.0.1:3"}
 `
@@ -35,7 +35,7 @@
 // and against a description that Load reads back to other settings.
 func TestDefaultsAndDescription(t *testing.T) {
 	is := is.New(t)
-	s, err := settingsloader.Loader{}.Load([]byte(smallest))
+	s, err := settingsloader.Loader{}.Load([]byte(minimalSettings))
 	is.NoErr(err)
 	is.Equal(s.Advertise.Links, cassiatally.Address("127.0.0.1:2"))
 	is.Equal(s.Gossip.RemoveAfter, 10*time.Second)
@@ -72,7 +72,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			_, problems := settingsloader.Check([]byte(smallest + c.add + "\n"))
+			_, problems := settingsloader.Check([]byte(minimalSettings + c.add + "\n"))
 			is.Equal(len(problems), 1)
 			p := problems[0]
 			is.Equal([]int{p.Line, p.Column}, []int{c.line, c.column})
@@ -99,13 +99,13 @@
 // Guards against an advertised link address to which other nodes cannot connect.
 func TestUnspecifiedLinkAddress(t *testing.T) {
 	is := is.New(t)
-	text := strings.Replace(smallest, "127.0.0.1:2", "0.0.0.0:2", 1)
+	text := strings.Replace(minimalSettings, "127.0.0.1:2", "0.0.0.0:2", 1)
 	_, problems := settingsloader.Check([]byte(text))
 	is.Equal(len(problems), 1)
 	is.Equal(problems[0].Key, "listen.links")
 	_, problems = settingsloader.Check([]byte(text + "advertise: {links: '10.0.0.9:2'}\n"))
 	is.Equal(len(problems), 0)
-	_, problems = settingsloader.Check([]byte(strings.Replace(smallest, "127.0.0.1:2", "0.0.0.0:0", 1)))
+	_, problems = settingsloader.Check([]byte(strings.Replace(minimalSettings, "127.0.0.1:2", "0.0.0.0:0", 1)))
 	is.Equal(len(problems), 1)
 }
 
--- a/cassiatally/settingsloader/settings.go
+++ b/cassiatally/settingsloader/settings.go
@@ -172,7 +172,7 @@
 		default:
 			b.WriteString(name + ": " + value + "\n")
 		}
-		if f.path == lastBeforeSeeds {
+		if f.path == keyBeforeSeeds {
 			b.WriteString(describeSeeds(s.Seeds))
 		}
 	}
