--- a/cassiatally/sheet/window.go
+++ b/cassiatally/sheet/window.go
@@ -68,8 +68,8 @@
 		if !isRange {
 			last = first
 		}
-		from, okFrom := dayOf(first)
-		to, okTo := dayOf(last)
+		from, okFrom := parseDay(first)
+		to, okTo := parseDay(last)
 		if !okFrom || !okTo {
 			return 0, errors.Newf("%q is not a day or a range of days", part)
 		}
@@ -86,7 +86,7 @@
 	return d, nil
 }
 
-func dayOf(name string) (time.Weekday, bool) {
+func parseDay(name string) (time.Weekday, bool) {
 	for i, n := range dayNames {
 		if n == name {
 			return time.Weekday(i), true
