--- a/cassiatally/sheetparser/check.go
+++ b/cassiatally/sheetparser/check.go
@@ -17,16 +17,16 @@
 	shareTolerance cassiatally.Share = 1e-9
 )
 
-func (p *Parser) checkRows(rows []placedRow) {
+func (p *Parser) checkRows(rows []parsedRow) {
 	p.checkIdempotent(rows)
 	p.checkShares(rows)
 	if len(p.report.Errors) == 0 {
-		p.checkTimes(rows)
+		p.checkCoverage(rows)
 	}
 }
 
-func (p *Parser) checkIdempotent(rows []placedRow) {
-	first := map[sheet.KindRef]placedRow{}
+func (p *Parser) checkIdempotent(rows []parsedRow) {
+	first := map[sheet.KindRef]parsedRow{}
 	for _, r := range rows {
 		f, seen := first[r.Kind]
 		if !seen {
@@ -34,15 +34,15 @@
 			continue
 		}
 		if f.Idempotent != r.Idempotent {
-			p.errorAt(r.raw.place(sheet.ColumnIdempotent), sheet.ColumnIdempotent,
+			p.addError(r.raw.position(sheet.ColumnIdempotent), sheet.ColumnIdempotent,
 				fmt.Sprintf("%s is %t here and %t in line %d", r.Kind, r.Idempotent, f.Idempotent, f.raw.at.Line),
 				"write the same value in all rows of the kind")
 		}
 	}
 }
 
-func (p *Parser) checkShares(rows []placedRow) {
-	var first [cassiatally.MaxRanks]*placedRow
+func (p *Parser) checkShares(rows []parsedRow) {
+	var first [cassiatally.MaxRanks]*parsedRow
 	var sum cassiatally.Share
 	var last Position
 	for i := range rows {
@@ -55,27 +55,27 @@
 		first[r.Rank] = r
 		if r.Rank > 0 && r.Share > 0 {
 			sum += r.Share
-			last = r.raw.place(sheet.ColumnShare)
+			last = r.raw.position(sheet.ColumnShare)
 		}
 	}
-	p.checkSum(last, sum)
+	p.checkShareSum(last, sum)
 }
 
-func (p *Parser) checkSameShare(r, first *placedRow) {
+func (p *Parser) checkSameShare(r, first *parsedRow) {
 	if r.Share == first.Share {
 		return
 	}
-	p.errorAt(r.raw.place(sheet.ColumnShare), sheet.ColumnShare,
+	p.addError(r.raw.position(sheet.ColumnShare), sheet.ColumnShare,
 		fmt.Sprintf("rank %d has share %s here and %s in line %d", r.Rank, r.Field(sheet.ColumnShare), first.Field(sheet.ColumnShare), first.raw.at.Line),
 		"write the same share in all rows of the rank")
 }
 
-func (p *Parser) checkSum(at Position, sum cassiatally.Share) {
+func (p *Parser) checkShareSum(at Position, sum cassiatally.Share) {
 	message := fmt.Sprintf("the shares of the ranks from 1 on add up to %.4g", float64(sum))
 	switch {
 	case sum > maxShares+shareTolerance:
-		p.errorAt(at, sheet.ColumnShare, message, "lower them to at most 1 in all")
+		p.addError(at, sheet.ColumnShare, message, "lower them to at most 1 in all")
 	case sum > warnShares+shareTolerance:
-		p.warnAt(at, sheet.ColumnShare, message, "at most 0.5 leaves the most urgent rank half of the capacity")
+		p.addWarning(at, sheet.ColumnShare, message, "at most 0.5 leaves the most urgent rank half of the capacity")
 	}
 }
--- a/cassiatally/sheetparser/convert.go
+++ b/cassiatally/sheetparser/convert.go
@@ -22,42 +22,42 @@
 	namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 )
 
-func (p *Parser) convertAll(raw []rawRow) []placedRow {
-	rows := make([]placedRow, 0, len(raw))
+func (p *Parser) convertRows(raw []rawRow) []parsedRow {
+	rows := make([]parsedRow, 0, len(raw))
 	for _, r := range raw {
 		if r.invalid {
 			continue
 		}
 		errorsBefore := len(p.report.Errors) + p.report.More
-		row := p.convert(r)
+		row := p.convertRow(r)
 		if len(p.report.Errors)+p.report.More == errorsBefore {
-			rows = append(rows, placedRow{Row: row, raw: r})
+			rows = append(rows, parsedRow{Row: row, raw: r})
 		}
 	}
 	if len(raw) == 0 && len(p.report.Errors) == 0 {
-		p.errorAt(Position{1, 1}, "", "the sheet has no rows", "add a row for each kind of work")
+		p.addError(Position{1, 1}, "", "the sheet has no rows", "add a row for each kind of work")
 	}
 	return rows
 }
 
-func (p *Parser) convert(r rawRow) sheet.Row {
+func (p *Parser) convertRow(r rawRow) sheet.Row {
 	return sheet.Row{
 		Kind: sheet.KindRef{
-			Service: cassiatally.Service(p.name(r, sheet.ColumnService)),
-			Work:    cassiatally.WorkKind(p.name(r, sheet.ColumnKind)),
+			Service: cassiatally.Service(p.parseName(r, sheet.ColumnService)),
+			Work:    cassiatally.WorkKind(p.parseName(r, sheet.ColumnKind)),
 		},
-		DataCentre: p.dataCentre(r),
-		Window:     p.window(r),
-		Rank:       p.rank(r),
-		Share:      p.share(r),
-		Target:     p.target(r),
-		Idempotent: p.idempotent(r),
+		DataCentre: p.parseDataCentre(r),
+		Window:     p.parseWindow(r),
+		Rank:       p.parseRank(r),
+		Share:      p.parseShare(r),
+		Target:     p.parseTarget(r),
+		Idempotent: p.parseIdempotent(r),
 	}
 }
 
 // position returns the position of the field in the column, or that of the row
 // when the row has no such field.
-func (r rawRow) place(c sheet.Column) Position {
+func (r rawRow) position(c sheet.Column) Position {
 	if found, ok := r.cells[c]; ok {
 		return found.at
 	}
@@ -66,35 +66,35 @@
 
 func (r rawRow) text(c sheet.Column) string { return r.cells[c].text }
 
-func (p *Parser) fault(r rawRow, c sheet.Column, fix string) {
+func (p *Parser) addInvalidValue(r rawRow, c sheet.Column, fix string) {
 	message := fmt.Sprintf("%q is not valid", r.text(c))
 	if r.text(c) == "" {
 		message = "the value is missing"
 	}
-	p.errorAt(r.place(c), c, message, fix)
+	p.addError(r.position(c), c, message, fix)
 }
 
-func (p *Parser) name(r rawRow, c sheet.Column) string {
+func (p *Parser) parseName(r rawRow, c sheet.Column) string {
 	text := r.text(c)
 	if !namePattern.MatchString(text) {
-		p.fault(r, c, "write a name of at most 64 letters, digits, dots, dashes and underscores, such as booking-svc")
+		p.addInvalidValue(r, c, "write a name of at most 64 letters, digits, dots, dashes and underscores, such as booking-svc")
 	}
 	return text
 }
 
-func (p *Parser) dataCentre(r rawRow) cassiatally.DataCentre {
+func (p *Parser) parseDataCentre(r rawRow) cassiatally.DataCentre {
 	text := r.text(sheet.ColumnDataCentre)
 	if text == "" || text == string(sheet.AnyDataCentre) {
 		return sheet.AnyDataCentre
 	}
-	return cassiatally.DataCentre(p.name(r, sheet.ColumnDataCentre))
+	return cassiatally.DataCentre(p.parseName(r, sheet.ColumnDataCentre))
 }
 
-func (p *Parser) window(r rawRow) sheet.Window {
-	w := sheet.Window{Zone: p.zone(r), To: sheet.MinutesPerDay}
+func (p *Parser) parseWindow(r rawRow) sheet.Window {
+	w := sheet.Window{Zone: p.parseZone(r), To: sheet.MinutesPerDay}
 	days, err := sheet.ParseDays(r.text(sheet.ColumnDays))
 	if err != nil {
-		p.fault(r, sheet.ColumnDays, "write days such as mon-fri, sat sun or *")
+		p.addInvalidValue(r, sheet.ColumnDays, "write days such as mon-fri, sat sun or *")
 	}
 	w.Days = days
 	from, to := r.text(sheet.ColumnFrom), r.text(sheet.ColumnTo)
@@ -102,26 +102,26 @@
 		return w
 	}
 	var okFrom, okTo bool
-	w.From, okFrom = p.minute(r, sheet.ColumnFrom)
-	w.To, okTo = p.minute(r, sheet.ColumnTo)
+	w.From, okFrom = p.parseMinute(r, sheet.ColumnFrom)
+	w.To, okTo = p.parseMinute(r, sheet.ColumnTo)
 	if w.From == sheet.MinutesPerDay {
-		p.fault(r, sheet.ColumnFrom, "write 00:00 for the start of a day; 24:00 is allowed as the end only")
+		p.addInvalidValue(r, sheet.ColumnFrom, "write 00:00 for the start of a day; 24:00 is allowed as the end only")
 	}
 	if okFrom && okTo && w.From == w.To {
-		p.errorAt(r.place(sheet.ColumnTo), sheet.ColumnTo, "the window ends when it starts", "leave from and to empty for the whole day")
+		p.addError(r.position(sheet.ColumnTo), sheet.ColumnTo, "the window ends when it starts", "leave from and to empty for the whole day")
 	}
 	return w
 }
 
-func (p *Parser) zone(r rawRow) sheet.Zone {
+func (p *Parser) parseZone(r rawRow) sheet.Zone {
 	z := sheet.Zone(r.text(sheet.ColumnZone))
-	if _, err := p.location(z); err != nil {
-		p.fault(r, sheet.ColumnZone, "write an IANA zone such as Europe/London, or leave it empty for UTC")
+	if _, err := p.loadLocation(z); err != nil {
+		p.addInvalidValue(r, sheet.ColumnZone, "write an IANA zone such as Europe/London, or leave it empty for UTC")
 	}
 	return z
 }
 
-func (p *Parser) location(z sheet.Zone) (*time.Location, error) {
+func (p *Parser) loadLocation(z sheet.Zone) (*time.Location, error) {
 	if loc, ok := p.zones[z]; ok {
 		return loc, nil
 	}
@@ -132,23 +132,23 @@
 	return loc, err
 }
 
-func (p *Parser) minute(r rawRow, c sheet.Column) (sheet.Minute, bool) {
+func (p *Parser) parseMinute(r rawRow, c sheet.Column) (sheet.Minute, bool) {
 	m, err := sheet.ParseMinute(r.text(c))
 	if err != nil {
-		p.fault(r, c, "write a time of day such as 06:00, or leave both from and to empty")
+		p.addInvalidValue(r, c, "write a time of day such as 06:00, or leave both from and to empty")
 	}
 	return m, err == nil
 }
 
-func (p *Parser) rank(r rawRow) cassiatally.Rank {
+func (p *Parser) parseRank(r rawRow) cassiatally.Rank {
 	n, err := strconv.ParseUint(r.text(sheet.ColumnRank), 10, 8)
 	if err != nil || n >= cassiatally.MaxRanks {
-		p.fault(r, sheet.ColumnRank, fmt.Sprintf("write a whole number from 0, the most urgent, to %d", cassiatally.MaxRanks-1))
+		p.addInvalidValue(r, sheet.ColumnRank, fmt.Sprintf("write a whole number from 0, the most urgent, to %d", cassiatally.MaxRanks-1))
 	}
 	return cassiatally.Rank(n)
 }
 
-func (p *Parser) share(r rawRow) cassiatally.Share {
+func (p *Parser) parseShare(r rawRow) cassiatally.Share {
 	text := r.text(sheet.ColumnShare)
 	if text == "" {
 		return 0
@@ -159,28 +159,28 @@
 	}
 	f, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(f >= 0 && f <= 1) {
-		p.fault(r, sheet.ColumnShare, "write a fraction from 0 to 1, such as 0.1")
+		p.addInvalidValue(r, sheet.ColumnShare, "write a fraction from 0 to 1, such as 0.1")
 		return 0
 	}
 	return cassiatally.Share(f)
 }
 
-func (p *Parser) target(r rawRow) time.Duration {
+func (p *Parser) parseTarget(r rawRow) time.Duration {
 	d, err := time.ParseDuration(r.text(sheet.ColumnTarget))
 	if err != nil || d <= 0 || d > maxTarget {
-		p.fault(r, sheet.ColumnTarget, "write a duration with its unit, such as 800ms or 2s, of at most 1h")
+		p.addInvalidValue(r, sheet.ColumnTarget, "write a duration with its unit, such as 800ms or 2s, of at most 1h")
 	}
 	return d
 }
 
-func (p *Parser) idempotent(r rawRow) bool {
+func (p *Parser) parseIdempotent(r rawRow) bool {
 	switch strings.ToLower(r.text(sheet.ColumnIdempotent)) {
 	case "true":
 		return true
 	case "false":
 		return false
 	default:
-		p.fault(r, sheet.ColumnIdempotent, "write true or false")
+		p.addInvalidValue(r, sheet.ColumnIdempotent, "write true or false")
 		return false
 	}
 }
--- a/cassiatally/sheetparser/coverage.go
+++ b/cassiatally/sheetparser/coverage.go
@@ -79,9 +79,9 @@
 }
 
 // checkCoverage warns of gaps and overlaps for each kind.
-func (p *Parser) checkTimes(rows []placedRow) {
+func (p *Parser) checkCoverage(rows []parsedRow) {
 	var order []sheet.KindRef
-	kinds := map[sheet.KindRef][]placedRow{}
+	kinds := map[sheet.KindRef][]parsedRow{}
 	for _, r := range rows {
 		if _, seen := kinds[r.Kind]; !seen {
 			order = append(order, r.Kind)
@@ -89,58 +89,58 @@
 		kinds[r.Kind] = append(kinds[r.Kind], r)
 	}
 	for _, k := range order {
-		p.checkKind(kinds[k])
+		p.checkKindCoverage(kinds[k])
 	}
 }
 
-func (p *Parser) checkKind(rows []placedRow) {
+func (p *Parser) checkKindCoverage(rows []parsedRow) {
 	reported := map[string]bool{}
 	for _, at := range referenceWeeks {
-		c := coverage{parser: p, rows: rows, at: at, seen: reported, sets: map[cassiatally.DataCentre]*week{}}
-		c.overlaps()
-		c.gaps()
+		c := coverage{parser: p, rows: rows, weekStart: at, reported: reported, covered: map[cassiatally.DataCentre]*week{}}
+		c.checkOverlaps()
+		c.checkGaps()
 	}
 }
 
 // coverage records the minutes of a reference week that the rows of one kind
 // cover, in the zone of the first row.
 type coverage struct {
-	parser *Parser
-	rows   []placedRow
-	at     time.Time
-	seen   map[string]bool
-	order  []cassiatally.DataCentre
-	sets   map[cassiatally.DataCentre]*week
+	parser      *Parser
+	rows        []parsedRow
+	weekStart   time.Time
+	reported    map[string]bool
+	dataCentres []cassiatally.DataCentre
+	covered     map[cassiatally.DataCentre]*week
 }
 
-func (c *coverage) warn(r placedRow, message, fix string) {
+func (c *coverage) warn(r parsedRow, message, fix string) {
 	key := fmt.Sprint(r.raw.at, message)
-	if c.seen[key] {
+	if c.reported[key] {
 		return
 	}
-	c.seen[key] = true
-	c.parser.warnAt(r.raw.at, "", message, fix)
+	c.reported[key] = true
+	c.parser.addWarning(r.raw.at, "", message, fix)
 }
 
 // checkOverlaps fills the set of each data centre and warns of rows whose window
 // overlaps that of an earlier row of the data centre.
-func (c *coverage) overlaps() {
+func (c *coverage) checkOverlaps() {
 	for _, r := range c.rows {
-		set, ok := c.sets[r.DataCentre]
+		set, ok := c.covered[r.DataCentre]
 		if !ok {
 			set = &week{}
-			c.sets[r.DataCentre] = set
-			c.order = append(c.order, r.DataCentre)
+			c.covered[r.DataCentre] = set
+			c.dataCentres = append(c.dataCentres, r.DataCentre)
 		}
-		if at, overlap := c.cover(set, r); overlap {
-			c.warn(r, fmt.Sprintf("%s at data centre %s has an earlier row that holds too, from %s %s on", r.Kind, r.DataCentre, weekTime(at), c.zone()),
+		if at, overlap := c.addRow(set, r); overlap {
+			c.warn(r, fmt.Sprintf("%s at data centre %s has an earlier row that holds too, from %s %s on", r.Kind, r.DataCentre, weekTime(at), c.zoneName()),
 				"the earlier row wins; change the windows so that one row holds at a time")
 		}
 	}
 }
 
-func (c *coverage) cover(set *week, r placedRow) (sheet.Minute, bool) {
-	shift := c.offset(c.rows[0].Window.Zone) - c.offset(r.Window.Zone)
+func (c *coverage) addRow(set *week, r parsedRow) (sheet.Minute, bool) {
+	shift := c.zoneOffset(c.rows[0].Window.Zone) - c.zoneOffset(r.Window.Zone)
 	var first sheet.Minute
 	overlap := false
 	for i := range 7 {
@@ -160,8 +160,8 @@
 	return first, overlap
 }
 
-func (c *coverage) gaps() {
-	anyCovered := c.sets[sheet.AnyDataCentre]
+func (c *coverage) checkGaps() {
+	anyCovered := c.covered[sheet.AnyDataCentre]
 	if anyCovered == nil {
 		anyCovered = &week{}
 	}
@@ -169,35 +169,35 @@
 	if anyGaps != "" {
 		c.warnGap(sheet.AnyDataCentre, anyGaps)
 	}
-	for _, dc := range c.order {
+	for _, dc := range c.dataCentres {
 		if dc == sheet.AnyDataCentre {
 			continue
 		}
-		c.sets[dc].union(anyCovered)
-		if gaps := c.sets[dc].gaps(); gaps != "" && gaps != anyGaps {
+		c.covered[dc].union(anyCovered)
+		if gaps := c.covered[dc].gaps(); gaps != "" && gaps != anyGaps {
 			c.warnGap(dc, gaps)
 		}
 	}
 }
 
 func (c *coverage) warnGap(dc cassiatally.DataCentre, spans string) {
-	i := max(0, slices.IndexFunc(c.rows, func(r placedRow) bool { return r.DataCentre == dc }))
-	c.warn(c.rows[i], fmt.Sprintf("%s at data centre %s has no row from %s %s", c.rows[i].Kind, dc, spans, c.zone()),
+	i := max(0, slices.IndexFunc(c.rows, func(r parsedRow) bool { return r.DataCentre == dc }))
+	c.warn(c.rows[i], fmt.Sprintf("%s at data centre %s has no row from %s %s", c.rows[i].Kind, dc, spans, c.zoneName()),
 		"add rows for these times; work without a row gets the least urgent rank and no share")
 }
 
-func (c *coverage) zone() string {
+func (c *coverage) zoneName() string {
 	if z := c.rows[0].Window.Zone; z != "" {
 		return string(z)
 	}
 	return "UTC"
 }
 
-func (c *coverage) offset(z sheet.Zone) sheet.Minute {
-	loc, err := c.parser.location(z)
+func (c *coverage) zoneOffset(z sheet.Zone) sheet.Minute {
+	loc, err := c.parser.loadLocation(z)
 	if err != nil {
 		return 0
 	}
-	_, seconds := c.at.In(loc).Zone()
+	_, seconds := c.weekStart.In(loc).Zone()
 	return sheet.Minute(seconds / 60)
 }
--- a/cassiatally/sheetparser/csv.go
+++ b/cassiatally/sheetparser/csv.go
@@ -34,17 +34,17 @@
 			return rows
 		}
 		if err != nil {
-			p.reportCSV(err)
+			p.addCSVError(err)
 			continue
 		}
 		if allEmpty(fields) {
 			continue
 		}
 		if len(rows) >= sheet.MaxRows {
-			p.tooManyRows(positionOf(r, 0))
+			p.addTooManyRows(fieldPosition(r, 0))
 			return rows
 		}
-		rows = append(rows, p.csvRow(r, header, fields))
+		rows = append(rows, p.readCSVRow(r, header, fields))
 	}
 }
 
@@ -77,19 +77,19 @@
 func (p *Parser) readHeader(r *csv.Reader) ([]sheet.Column, bool) {
 	names, err := r.Read()
 	if errors.Is(err, io.EOF) {
-		p.errorAt(Position{1, 1}, "", "the sheet is empty", "start with a header line of "+columnList())
+		p.addError(Position{1, 1}, "", "the sheet is empty", "start with a header line of "+columnList())
 		return nil, false
 	}
 	if err != nil {
-		p.reportCSV(err)
+		p.addCSVError(err)
 		return nil, false
 	}
 	header := make([]sheet.Column, len(names))
 	valid := true
 	for i, name := range names {
-		c, ok := p.knownColumn(positionOf(r, i), strings.ToLower(strings.TrimSpace(name)))
+		c, ok := p.findColumn(fieldPosition(r, i), strings.ToLower(strings.TrimSpace(name)))
 		if ok && slices.Contains(header[:i], c) {
-			p.errorAt(positionOf(r, i), c, "the column is named twice", "name each column once")
+			p.addError(fieldPosition(r, i), c, "the column is named twice", "name each column once")
 			ok = false
 		}
 		valid = valid && ok
@@ -102,42 +102,42 @@
 	valid := true
 	for _, c := range requiredColumns {
 		if !slices.Contains(header, c) {
-			p.errorAt(Position{1, 1}, c, "the column is missing", "add it to the header line")
+			p.addError(Position{1, 1}, c, "the column is missing", "add it to the header line")
 			valid = false
 		}
 	}
 	return valid
 }
 
-func (p *Parser) csvRow(r *csv.Reader, header []sheet.Column, fields []string) rawRow {
-	row := rawRow{at: positionOf(r, 0), cells: make(map[sheet.Column]cell, len(header))}
+func (p *Parser) readCSVRow(r *csv.Reader, header []sheet.Column, fields []string) rawRow {
+	row := rawRow{at: fieldPosition(r, 0), cells: make(map[sheet.Column]cell, len(header))}
 	for i, text := range fields {
 		if i < len(header) {
-			row.cells[header[i]] = cell{strings.TrimSpace(text), positionOf(r, i)}
+			row.cells[header[i]] = cell{strings.TrimSpace(text), fieldPosition(r, i)}
 			continue
 		}
 		if strings.TrimSpace(text) != "" {
-			p.errorAt(positionOf(r, i), "", fmt.Sprintf("the row has more fields than the header's %d", len(header)), "quote fields that contain the separator")
+			p.addError(fieldPosition(r, i), "", fmt.Sprintf("the row has more fields than the header's %d", len(header)), "quote fields that contain the separator")
 			break
 		}
 	}
 	return row
 }
 
-func (p *Parser) reportCSV(err error) {
+func (p *Parser) addCSVError(err error) {
 	at, message := Position{1, 1}, err.Error()
 	var parse *csv.ParseError
 	if errors.As(err, &parse) {
 		at, message = Position{parse.Line, parse.Column}, parse.Err.Error()
 	}
-	p.errorAt(at, "", "malformed CSV: "+message, `enclose the field in double quotes and write a quote in it as ""`)
+	p.addError(at, "", "malformed CSV: "+message, `enclose the field in double quotes and write a quote in it as ""`)
 }
 
-func (p *Parser) tooManyRows(at Position) {
-	p.errorAt(at, "", fmt.Sprintf("the sheet has more than %d rows", sheet.MaxRows), "remove rows from here on")
+func (p *Parser) addTooManyRows(at Position) {
+	p.addError(at, "", fmt.Sprintf("the sheet has more than %d rows", sheet.MaxRows), "remove rows from here on")
 }
 
-func positionOf(r *csv.Reader, field int) Position {
+func fieldPosition(r *csv.Reader, field int) Position {
 	line, column := r.FieldPos(field)
 	return Position{line, column}
 }
--- a/cassiatally/sheetparser/parser.go
+++ b/cassiatally/sheetparser/parser.go
@@ -53,7 +53,7 @@
 }
 
 // parsedRow is a row of the sheet and the text from which it was parsed.
-type placedRow struct {
+type parsedRow struct {
 	sheet.Row
 	raw rawRow
 }
@@ -63,13 +63,13 @@
 func (p *Parser) Parse(file string, data []byte) (sheet.Sheet, Report) {
 	*p = Parser{file: file, zones: map[sheet.Zone]*time.Location{}}
 	if len(data) > sheet.MaxBytes {
-		p.errorAt(Position{1, 1}, "", fmt.Sprintf("the file has %d bytes", len(data)), fmt.Sprintf("at most %d bytes are allowed", sheet.MaxBytes))
+		p.addError(Position{1, 1}, "", fmt.Sprintf("the file has %d bytes", len(data)), fmt.Sprintf("at most %d bytes are allowed", sheet.MaxBytes))
 		return sheet.Sheet{}, p.report
 	}
 	data = bytes.TrimPrefix(data, []byte("\ufeff"))
-	rows := p.convertAll(p.readRows(file, data))
+	rows := p.convertRows(p.readRows(file, data))
 	p.checkRows(rows)
-	return p.result(rows), p.report
+	return p.buildSheet(rows), p.report
 }
 
 func (p *Parser) readRows(file string, data []byte) []rawRow {
@@ -83,7 +83,7 @@
 
 // buildSheet returns the sheet. Its canonical form can exceed sheet.MaxBytes even
 // when the text that was read does not.
-func (p *Parser) result(rows []placedRow) sheet.Sheet {
+func (p *Parser) buildSheet(rows []parsedRow) sheet.Sheet {
 	if len(p.report.Errors) > 0 {
 		return sheet.Sheet{}
 	}
@@ -92,28 +92,28 @@
 		s.Rows = append(s.Rows, r.Row)
 	}
 	if n := len(s.CSV()); n > sheet.MaxBytes {
-		p.errorAt(Position{1, 1}, "", fmt.Sprintf("the sheet has %d bytes in its canonical form", n), fmt.Sprintf("at most %d bytes are allowed", sheet.MaxBytes))
+		p.addError(Position{1, 1}, "", fmt.Sprintf("the sheet has %d bytes in its canonical form", n), fmt.Sprintf("at most %d bytes are allowed", sheet.MaxBytes))
 		return sheet.Sheet{}
 	}
 	return s
 }
 
-func (p *Parser) errorAt(at Position, c sheet.Column, message, fix string) {
+func (p *Parser) addError(at Position, c sheet.Column, message, fix string) {
 	p.report.add(Problem{File: p.file, Position: at, Severity: SeverityError, Field: c, Message: message, Fix: fix})
 }
 
-func (p *Parser) warnAt(at Position, c sheet.Column, message, fix string) {
+func (p *Parser) addWarning(at Position, c sheet.Column, message, fix string) {
 	p.report.add(Problem{File: p.file, Position: at, Severity: SeverityWarning, Field: c, Message: message, Fix: fix})
 }
 
 // findColumn returns the column of a name and reports an error when there is none.
-func (p *Parser) knownColumn(at Position, name string) (sheet.Column, bool) {
+func (p *Parser) findColumn(at Position, name string) (sheet.Column, bool) {
 	for _, c := range sheet.Columns() {
 		if string(c) == name {
 			return c, true
 		}
 	}
-	p.errorAt(at, "", fmt.Sprintf("unknown column %q", name), "use "+columnList())
+	p.addError(at, "", fmt.Sprintf("unknown column %q", name), "use "+columnList())
 	return "", false
 }
 
--- a/cassiatally/sheetparser/yaml.go
+++ b/cassiatally/sheetparser/yaml.go
@@ -28,7 +28,7 @@
 
 // yamlErrorPosition matches the line and column with which the messages of the
 // YAML library start.
-var yamlErrorPlace = regexp.MustCompile(`^\[(\d+):(\d+)\] ([^\n]*)`)
+var yamlErrorPosition = regexp.MustCompile(`^\[(\d+):(\d+)\] ([^\n]*)`)
 
 func (p *Parser) readYAML(data []byte) []rawRow {
 	data = bytes.ReplaceAll(data, []byte("\r\n"), []byte("\n"))
@@ -37,23 +37,23 @@
 	}
 	file, err := parseYAML(data)
 	if err != nil {
-		p.reportYAML(err)
+		p.addYAMLError(err)
 		return nil
 	}
 	if len(file.Docs) == 0 || file.Docs[0].Body == nil {
-		p.errorAt(Position{1, 1}, "", "the sheet is empty", "start with the line rows: and a list of rows")
+		p.addError(Position{1, 1}, "", "the sheet is empty", "start with the line rows: and a list of rows")
 		return nil
 	}
 	if len(file.Docs) > 1 {
-		p.errorAt(placeOf(file.Docs[1]), "", "the file has more than one YAML document", "keep one document")
+		p.addError(nodePosition(file.Docs[1]), "", "the file has more than one YAML document", "keep one document")
 	}
-	return p.yamlRows(file.Docs[0].Body)
+	return p.readYAMLRows(file.Docs[0].Body)
 }
 
 func (p *Parser) checkYAMLBounds(data []byte) bool {
 	for i, line := range bytes.Split(data, []byte("\n")) {
 		if len(line) > maxYAMLLine {
-			p.errorAt(Position{i + 1, maxYAMLLine + 1}, "", "the line is too long", fmt.Sprintf("at most %d bytes are allowed", maxYAMLLine))
+			p.addError(Position{i + 1, maxYAMLLine + 1}, "", "the line is too long", fmt.Sprintf("at most %d bytes are allowed", maxYAMLLine))
 			return false
 		}
 	}
@@ -64,7 +64,7 @@
 		}
 	}
 	if n > maxYAMLIndicators {
-		p.errorAt(Position{1, 1}, "", fmt.Sprintf("the file has more than %d of the characters %s", maxYAMLIndicators, yamlIndicators), "write one key in each line")
+		p.addError(Position{1, 1}, "", fmt.Sprintf("the file has more than %d of the characters %s", maxYAMLIndicators, yamlIndicators), "write one key in each line")
 		return false
 	}
 	return true
@@ -81,82 +81,82 @@
 	return parser.ParseBytes(data, 0)
 }
 
-func (p *Parser) reportYAML(err error) {
+func (p *Parser) addYAMLError(err error) {
 	at, message := Position{1, 1}, strings.SplitN(err.Error(), "\n", 2)[0]
-	if m := yamlErrorPlace.FindStringSubmatch(err.Error()); m != nil {
+	if m := yamlErrorPosition.FindStringSubmatch(err.Error()); m != nil {
 		at.Line, _ = strconv.Atoi(m[1])
 		at.Column, _ = strconv.Atoi(m[2])
 		message = m[3]
 	}
-	p.errorAt(at, "", "malformed YAML: "+message, "correct the syntax; put * and text with special characters in quotes")
+	p.addError(at, "", "malformed YAML: "+message, "correct the syntax; put * and text with special characters in quotes")
 }
 
-func (p *Parser) yamlRows(body ast.Node) []rawRow {
+func (p *Parser) readYAMLRows(body ast.Node) []rawRow {
 	var rows []rawRow
 	seen := false
-	for _, entry := range p.mapping(body, "start with the line rows: and a list of rows") {
-		key, ok := keyOf(entry)
+	for _, entry := range p.mappingEntries(body, "start with the line rows: and a list of rows") {
+		key, ok := entryKey(entry)
 		switch {
 		case !ok || key != rowsKey:
-			p.errorAt(placeOf(entry.Key), "", fmt.Sprintf("unknown key %q", key), "use the key rows only")
+			p.addError(nodePosition(entry.Key), "", fmt.Sprintf("unknown key %q", key), "use the key rows only")
 		case seen:
-			p.errorAt(placeOf(entry.Key), "", "the key rows appears twice", "keep one list of rows")
+			p.addError(nodePosition(entry.Key), "", "the key rows appears twice", "keep one list of rows")
 		default:
 			seen = true
-			rows = p.yamlList(entry.Value)
+			rows = p.readYAMLList(entry.Value)
 		}
 	}
 	return rows
 }
 
-func (p *Parser) yamlList(node ast.Node) []rawRow {
+func (p *Parser) readYAMLList(node ast.Node) []rawRow {
 	list, ok := node.(*ast.SequenceNode)
 	if !ok {
-		p.errorAt(placeOf(node), "", "the value of rows is not a list", "start each row with a dash")
+		p.addError(nodePosition(node), "", "the value of rows is not a list", "start each row with a dash")
 		return nil
 	}
 	var rows []rawRow
 	for i, item := range list.Values {
 		if i >= sheet.MaxRows {
-			p.tooManyRows(placeOf(item))
+			p.addTooManyRows(nodePosition(item))
 			break
 		}
-		rows = append(rows, p.yamlRow(item))
+		rows = append(rows, p.readYAMLRow(item))
 	}
 	return rows
 }
 
-func (p *Parser) yamlRow(item ast.Node) rawRow {
-	row := rawRow{at: placeOf(item), cells: map[sheet.Column]cell{}}
-	entries := p.mapping(item, "write the row as keys and values")
+func (p *Parser) readYAMLRow(item ast.Node) rawRow {
+	row := rawRow{at: nodePosition(item), cells: map[sheet.Column]cell{}}
+	entries := p.mappingEntries(item, "write the row as keys and values")
 	row.invalid = len(entries) == 0
 	for _, entry := range entries {
-		at := placeOf(entry.Key)
-		name, ok := keyOf(entry)
+		at := nodePosition(entry.Key)
+		name, ok := entryKey(entry)
 		if !ok {
-			p.errorAt(at, "", "the key is not a plain name", "use "+columnList())
+			p.addError(at, "", "the key is not a plain name", "use "+columnList())
 			continue
 		}
-		c, ok := p.knownColumn(at, name)
+		c, ok := p.findColumn(at, name)
 		if !ok {
 			continue
 		}
 		if _, duplicate := row.cells[c]; duplicate {
-			p.errorAt(at, c, "the key appears twice in the row", "keep one of them")
+			p.addError(at, c, "the key appears twice in the row", "keep one of them")
 			continue
 		}
-		text, ok := scalar(entry.Value)
+		text, ok := scalarText(entry.Value)
 		if !ok {
-			p.errorAt(placeOf(entry.Value), c, "the value is not a single plain value", "write one value; put * in quotes")
+			p.addError(nodePosition(entry.Value), c, "the value is not a single plain value", "write one value; put * in quotes")
 		}
-		row.cells[c] = cell{strings.TrimSpace(text), placeOf(entry.Value)}
+		row.cells[c] = cell{strings.TrimSpace(text), nodePosition(entry.Value)}
 	}
 	return row
 }
 
 // mappingEntries returns the entries of a mapping node and reports an error for
 // other and empty nodes.
-func (p *Parser) mapping(node ast.Node, fix string) []*ast.MappingValueNode {
+func (p *Parser) mappingEntries(node ast.Node, fix string) []*ast.MappingValueNode {
 	switch n := node.(type) {
 	case *ast.MappingNode:
 		if len(n.Values) > 0 {
@@ -165,21 +165,21 @@
 	case *ast.MappingValueNode:
 		return []*ast.MappingValueNode{n}
 	}
-	p.errorAt(placeOf(node), "", "expected keys and values", fix)
+	p.addError(nodePosition(node), "", "expected keys and values", fix)
 	return nil
 }
 
-func keyOf(entry *ast.MappingValueNode) (string, bool) {
+func entryKey(entry *ast.MappingValueNode) (string, bool) {
 	node, ok := entry.Key.(ast.Node)
 	if !ok {
 		return "", false
 	}
-	return scalar(node)
+	return scalarText(node)
 }
 
 // scalar returns the text of a plain or quoted value. Anchors, aliases, tags and
 // collections are refused, so that a small file cannot expand to a large one.
-func scalar(node ast.Node) (string, bool) {
+func scalarText(node ast.Node) (string, bool) {
 	switch n := node.(type) {
 	case nil, *ast.NullNode:
 		return "", true
@@ -195,15 +195,15 @@
 
 // nodePosition returns the position of a node, or the start of the file when the
 // node has no token.
-func placeOf(node any) Position {
-	t := tokenOf(node)
+func nodePosition(node any) Position {
+	t := nodeToken(node)
 	if t == nil || t.Position == nil {
 		return Position{1, 1}
 	}
 	return Position{t.Position.Line, t.Position.Column}
 }
 
-func tokenOf(node any) *token.Token {
+func nodeToken(node any) *token.Token {
 	if doc, ok := node.(*ast.DocumentNode); ok {
 		if doc.Body == nil {
 			// GetToken of a document without a body dereferences nil.
