--- a/cassiatally/sheetdiffer/differ.go
+++ b/cassiatally/sheetdiffer/differ.go
@@ -54,7 +54,7 @@
 	kind       sheet.KindRef
 	dataCentre cassiatally.DataCentre
 	window     sheet.Window
-	number     int
+	occurrence int
 }
 
 // Diff returns the changes from before to after: added and changed rows in the
@@ -90,7 +90,7 @@
 	for _, r := range s.Rows {
 		k := rowKey{kind: r.Kind, dataCentre: r.DataCentre, window: r.Window}
 		counts[k]++
-		k.number = counts[k]
+		k.occurrence = counts[k]
 		keys = append(keys, k)
 	}
 	return keys
@@ -120,19 +120,19 @@
 func (c Change) String() string {
 	switch c.Operation {
 	case Added:
-		return "+ " + place(c.Row) + ": " + values(c.Row)
+		return "+ " + formatKey(c.Row) + ": " + formatValues(c.Row)
 	case Removed:
-		return "- " + place(c.Row) + ": " + values(c.Row)
+		return "- " + formatKey(c.Row) + ": " + formatValues(c.Row)
 	default:
 		parts := make([]string, 0, len(c.Fields))
 		for _, f := range c.Fields {
 			parts = append(parts, fmt.Sprintf("%s %s -> %s", f.Column, f.Before, f.After))
 		}
-		return "~ " + place(c.Row) + ": " + strings.Join(parts, ", ")
+		return "~ " + formatKey(c.Row) + ": " + strings.Join(parts, ", ")
 	}
 }
 
-func place(r sheet.Row) string {
+func formatKey(r sheet.Row) string {
 	window := "always"
 	if !r.Window.AllDay() || r.Window.Days != sheet.EveryDay {
 		window = r.Window.Days.String()
@@ -146,7 +146,7 @@
 	return fmt.Sprintf("%s at %s, %s", r.Kind, r.DataCentre, window)
 }
 
-func values(r sheet.Row) string {
+func formatValues(r sheet.Row) string {
 	columns := []sheet.Column{sheet.ColumnRank, sheet.ColumnShare, sheet.ColumnTarget, sheet.ColumnIdempotent}
 	parts := make([]string, 0, len(columns))
 	for _, c := range columns {
