--- a/cassiatally/flagparser/parser.go
+++ b/cassiatally/flagparser/parser.go
@@ -31,16 +31,16 @@
 }
 
 // flaggyMu guards the package-level state of flaggy.
-var parsing sync.Mutex
+var flaggyMu sync.Mutex
 
 // Parser parses the arguments of one command. It can be used once.
 type Parser struct {
 	// Flags is where the command adds its flags.
 	Flags *flaggy.Parser
 
-	message   string
-	help      bool
-	positions int
+	message         string
+	help            bool
+	positionalCount int
 }
 
 // New returns a parser for the command, such as "cassiatally sheet check". It has
@@ -51,21 +51,21 @@
 	p.Flags.ShowVersionWithVersionFlag = false
 	p.Flags.ShowCompletion = false
 	p.Flags.HelpTemplate = template.Must(template.New("help").
-		Funcs(template.FuncMap{"keep": p.keep}).
+		Funcs(template.FuncMap{"keep": p.captureMessage}).
 		Parse("{{keep .Message}}"))
 	p.Flags.Bool(&p.help, "h", "help", "show this help")
 	return p
 }
 
-func (p *Parser) keep(message string) string {
+func (p *Parser) captureMessage(message string) string {
 	p.message = message
 	return ""
 }
 
 // Positional adds the next positional argument.
 func (p *Parser) Positional(value *string, name, description string, required bool) {
-	p.positions++
-	p.Flags.AddPositionalValue(value, name, p.positions, false, description)
+	p.positionalCount++
+	p.Flags.AddPositionalValue(value, name, p.positionalCount, false, description)
 	// The argument is optional for flaggy, which would otherwise refuse --help
 	// without it. Parse checks that the arguments that are not Hidden are given.
 	p.Flags.PositionalFlags[len(p.Flags.PositionalFlags)-1].Hidden = !required
@@ -73,25 +73,25 @@
 
 // Parse sets the flags and arguments and reports whether --help was given.
 func (p *Parser) Parse(args []string) (help bool, err error) {
-	parsing.Lock()
-	defer parsing.Unlock()
+	flaggyMu.Lock()
+	defer flaggyMu.Unlock()
 	defer func() {
 		if r := recover(); r != nil {
-			help, err = false, p.usage(fmt.Sprint(r))
+			help, err = false, p.usageError(fmt.Sprint(r))
 		}
 	}()
 	if err := p.Flags.ParseArgs(args); err != nil {
-		return false, p.usage(err.Error())
+		return false, p.usageError(err.Error())
 	}
 	if p.help {
 		return true, nil
 	}
 	if len(p.Flags.TrailingArguments) > 0 {
-		return false, p.usage("unexpected arguments after --: " + strings.Join(p.Flags.TrailingArguments, " "))
+		return false, p.usageError("unexpected arguments after --: " + strings.Join(p.Flags.TrailingArguments, " "))
 	}
 	for _, v := range p.Flags.PositionalFlags {
 		if !v.Found && !v.Hidden {
-			return false, p.usage("the argument " + v.Name + " is missing")
+			return false, p.usageError("the argument " + v.Name + " is missing")
 		}
 	}
 	return false, nil
@@ -99,7 +99,7 @@
 
 // usageError returns an Error of KindUsage. It prefers the message that flaggy
 // passed to the help template to that of its panic.
-func (p *Parser) usage(message string) error {
+func (p *Parser) usageError(message string) error {
 	if p.message != "" {
 		message = p.message
 	}
