--- a/cassiatally/looper/looper.go
+++ b/cassiatally/looper/looper.go
@@ -11,7 +11,7 @@
 //		Interval: 100 * time.Millisecond,
 //		NextWake: router.NextWake, // optional
 //	}
-//	l.Start()
+//	l.Run()
 //	defer l.Close()
 //
 // Handle and Tick are called by the duty's goroutine only.
@@ -28,7 +28,7 @@
 // minWait bounds how often NextWake can wake the duty.
 const minWait = time.Millisecond
 
-// Looper runs one duty. Its fields must not change after Start.
+// Looper runs one duty. Its fields must not change after Run.
 type Looper[T any] struct {
 	Clock  cassiatally.Clock
 	Inbox  *ring.Ring[T]
@@ -44,8 +44,8 @@
 	nextTickAt cassiatally.Instant
 }
 
-// Start starts the goroutine of the duty and returns.
-func (l *Looper[T]) Start() {
+// Run starts the goroutine of the duty and returns.
+func (l *Looper[T]) Run() {
 	l.nextTickAt = l.nextTick(l.Clock.Now())
 	l.running.Go(l.loop)
 }
--- a/cassiatally/looper/looper_test.go
+++ b/cassiatally/looper/looper_test.go
@@ -43,7 +43,7 @@
 		},
 		Interval: interval,
 	}
-	l.Start()
+	l.Run()
 	for range 8 {
 		now := <-ticks
 		is.True(time.Duration(now)%interval < 2*step)
--- a/node/claimkeeper/claimkeeper.go
+++ b/node/claimkeeper/claimkeeper.go
@@ -96,7 +96,7 @@
 		Tick:     k.tick,
 		Interval: tickEvery,
 	}
-	k.duty.Start()
+	k.duty.Run()
 	k.helpers.Go(k.serveAppends)
 }
 
--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -126,7 +126,7 @@
 		Interval: tickEvery,
 		NextWake: d.Router.NextWake,
 	}
-	d.duty.Start()
+	d.duty.Run()
 }
 
 // Refused returns how many messages found no room in the inbox.
--- a/node/executor/executor.go
+++ b/node/executor/executor.go
@@ -160,7 +160,7 @@
 			return x.ticked.Add(queueTick), x.Runner.Queued() > 0
 		},
 	}
-	x.duty.Start()
+	x.duty.Run()
 }
 
 // Refused returns how many messages found no room in the inbox.
--- a/node/gatekeeper/flusher.go
+++ b/node/gatekeeper/flusher.go
@@ -22,7 +22,7 @@
 		Tick:     func(cassiatally.Instant) { f.flush() },
 		Interval: flushEvery,
 	}
-	f.duty.Start()
+	f.duty.Run()
 }
 
 // Close stops the duty and waits for it.
--- a/node/instancekeeper/instancekeeper.go
+++ b/node/instancekeeper/instancekeeper.go
@@ -104,7 +104,7 @@
 		Tick:     func(cassiatally.Instant) { k.probeExpected() },
 		Interval: tickEvery,
 	}
-	k.duty.Start()
+	k.duty.Run()
 }
 
 // Close stops the duty and waits for it and its health checks.
--- a/node/memberkeeper/memberkeeper.go
+++ b/node/memberkeeper/memberkeeper.go
@@ -84,7 +84,7 @@
 		Tick:     k.tick,
 		Interval: tickEvery,
 	}
-	k.duty.Start()
+	k.duty.Run()
 }
 
 // Refused returns how many messages found no room in the inbox.
--- a/node/routekeeper/routekeeper.go
+++ b/node/routekeeper/routekeeper.go
@@ -85,7 +85,7 @@
 		Tick:     func(cassiatally.Instant) {},
 		Interval: tickEvery,
 	}
-	k.duty.Start()
+	k.duty.Run()
 	k.follow.Go(k.readSource)
 }
 
--- a/node/sampler/sampler.go
+++ b/node/sampler/sampler.go
@@ -43,7 +43,7 @@
 		Tick:     s.tick,
 		Interval: every,
 	}
-	s.duty.Start()
+	s.duty.Run()
 }
 
 // Close stops the duty and waits for it.
--- a/node/sheetkeeper/sheetkeeper.go
+++ b/node/sheetkeeper/sheetkeeper.go
@@ -95,7 +95,7 @@
 		Tick:     func(now cassiatally.Instant) { k.carryOut(k.Follower.Tick(now)) },
 		Interval: tickEvery,
 	}
-	k.duty.Start()
+	k.duty.Run()
 	k.helpers.Go(k.serveAppends)
 }
 
