--- a/cassiatally/flagparser/parser.go
+++ b/cassiatally/flagparser/parser.go
@@ -1,10 +1,10 @@
 // Package flagparser parses the arguments of one command with flaggy and returns
-// faults as errors.
+// usage errors to the caller.
 //
-// flaggy reports most faults of a command line by printing help to the standard
-// error and ending the process. The package has flaggy panic instead of exiting,
-// gives it a help template that prints nothing and keeps the message, and turns
-// the panic into an Error of KindUsage.
+// By default flaggy reports most usage errors by printing help to the standard
+// error and exiting the process. The package makes flaggy panic instead of exiting,
+// gives it a help template that prints nothing and captures the message, and
+// converts the panic to an Error of KindUsage.
 //
 // # Usage
 //
@@ -26,78 +26,80 @@
 )
 
 func init() {
-	// The setting is global to flaggy, so it is made once and never changed.
+	// The setting is global to flaggy, so it is set once and never changed.
 	flaggy.PanicInsteadOfExit = true
 }
 
-// parsing guards the state that flaggy keeps in its package.
-var parsing sync.Mutex
+// flaggyMu guards the package-level state of flaggy.
+var flaggyMu sync.Mutex
 
-// Parser parses the arguments of one command once.
+// Parser parses the arguments of one command. It can be used once.
 type Parser struct {
-	// Flags takes the flags of the command.
+	// Flags is where the command adds its flags.
 	Flags *flaggy.Parser
 
-	message   string
-	help      bool
-	positions int
+	message         string
+	help            bool
+	positionalCount int
 }
 
-// New returns a parser for the command, named with its program, which has the
-// flag --help.
+// New returns a parser for the command, such as "cassiatally sheet check". It has
+// the flag --help.
 func New(command string) *Parser {
 	p := &Parser{Flags: flaggy.NewParser(command)}
 	p.Flags.ShowHelpWithHFlag = false
 	p.Flags.ShowVersionWithVersionFlag = false
 	p.Flags.ShowCompletion = false
 	p.Flags.HelpTemplate = template.Must(template.New("help").
-		Funcs(template.FuncMap{"keep": p.keep}).
+		Funcs(template.FuncMap{"keep": p.captureMessage}).
 		Parse("{{keep .Message}}"))
 	p.Flags.Bool(&p.help, "h", "help", "show this help")
 	return p
 }
 
-func (p *Parser) keep(message string) string {
+func (p *Parser) captureMessage(message string) string {
 	p.message = message
 	return ""
 }
 
-// Positional adds the next argument that is no flag.
+// Positional adds the next positional argument.
 func (p *Parser) Positional(value *string, name, description string, required bool) {
-	p.positions++
-	p.Flags.AddPositionalValue(value, name, p.positions, false, description)
-	// flaggy would refuse --help without the argument, so Parse checks it.
+	p.positionalCount++
+	p.Flags.AddPositionalValue(value, name, p.positionalCount, false, description)
+	// The argument is optional for flaggy, which would otherwise refuse --help
+	// without it. Parse checks that the arguments that are not Hidden are given.
 	p.Flags.PositionalFlags[len(p.Flags.PositionalFlags)-1].Hidden = !required
 }
 
-// Parse sets the flags and reports whether help was asked for.
+// Parse sets the flags and arguments and reports whether --help was given.
 func (p *Parser) Parse(args []string) (help bool, err error) {
-	parsing.Lock()
-	defer parsing.Unlock()
+	flaggyMu.Lock()
+	defer flaggyMu.Unlock()
 	defer func() {
 		if r := recover(); r != nil {
-			help, err = false, p.usage(fmt.Sprint(r))
+			help, err = false, p.usageError(fmt.Sprint(r))
 		}
 	}()
 	if err := p.Flags.ParseArgs(args); err != nil {
-		return false, p.usage(err.Error())
+		return false, p.usageError(err.Error())
 	}
 	if p.help {
 		return true, nil
 	}
 	if len(p.Flags.TrailingArguments) > 0 {
-		return false, p.usage("unexpected arguments after --: " + strings.Join(p.Flags.TrailingArguments, " "))
+		return false, p.usageError("unexpected arguments after --: " + strings.Join(p.Flags.TrailingArguments, " "))
 	}
 	for _, v := range p.Flags.PositionalFlags {
 		if !v.Found && !v.Hidden {
-			return false, p.usage("the argument " + v.Name + " is missing")
+			return false, p.usageError("the argument " + v.Name + " is missing")
 		}
 	}
 	return false, nil
 }
 
-// usage prefers the message that flaggy meant to print over that of its panic.
-func (p *Parser) usage(message string) error {
+// usageError returns an Error of KindUsage. It prefers the message that flaggy
+// passed to the help template to that of its panic.
+func (p *Parser) usageError(message string) error {
 	if p.message != "" {
 		message = p.message
 	}
--- a/cassiatally/looper/looper.go
+++ b/cassiatally/looper/looper.go
@@ -1,4 +1,4 @@
-// Package looper runs a duty: one goroutine that owns its state, takes events
+// Package looper runs a duty: one goroutine that owns its state, receives events
 // from a bounded ring and handles timers.
 //
 // # Usage
@@ -8,7 +8,7 @@
 //		Inbox:    ring.New[event](4096, ring.Wait),
 //		Handle:   func(now cassiatally.Instant, e event) { ... },
 //		Tick:     func(now cassiatally.Instant) { ... },
-//		Every:    100 * time.Millisecond,
+//		Interval: 100 * time.Millisecond,
 //		NextWake: router.NextWake, // optional
 //	}
 //	l.Run()
@@ -28,36 +28,36 @@
 // minWait bounds how often NextWake can wake the duty.
 const minWait = time.Millisecond
 
-// Looper is a duty. Its fields are set before Run.
+// Looper runs one duty. Its fields must not change after Run.
 type Looper[T any] struct {
 	Clock  cassiatally.Clock
 	Inbox  *ring.Ring[T]
 	Handle func(now cassiatally.Instant, event T)
-	// Tick is called at multiples of Every, and at NextWake when that is set.
+	// Tick is called at multiples of Interval, and at the time that NextWake
+	// returns when NextWake is set.
 	Tick     func(now cassiatally.Instant)
-	Every    time.Duration
+	Interval time.Duration
 	NextWake func() (cassiatally.Instant, bool)
 
-	running sync.WaitGroup
-	batch   []T
-	next    cassiatally.Instant
+	running    sync.WaitGroup
+	batch      []T
+	nextTickAt cassiatally.Instant
 }
 
-// Run starts the goroutine of the duty.
+// Run starts the goroutine of the duty and returns.
 func (l *Looper[T]) Run() {
-	l.next = l.nextTick(l.Clock.Now())
+	l.nextTickAt = l.nextTick(l.Clock.Now())
 	l.running.Go(l.loop)
 }
 
-// Close refuses further events and waits until those already taken in are
-// handled.
+// Close refuses further events and waits until the accepted ones are handled.
 func (l *Looper[T]) Close() {
 	l.Inbox.Close()
 	l.running.Wait()
 }
 
 func (l *Looper[T]) loop() {
-	timer := time.NewTimer(l.Every)
+	timer := time.NewTimer(l.Interval)
 	defer timer.Stop()
 	for {
 		timer.Reset(l.untilWake())
@@ -74,7 +74,7 @@
 }
 
 func (l *Looper[T]) handleAll() {
-	l.batch = l.Inbox.Take(l.batch[:0])
+	l.batch = l.Inbox.TakeAll(l.batch[:0])
 	if len(l.batch) == 0 {
 		return
 	}
@@ -87,7 +87,7 @@
 }
 
 func (l *Looper[T]) untilWake() time.Duration {
-	wake := l.next
+	wake := l.nextTickAt
 	if l.NextWake != nil {
 		if at, ok := l.NextWake(); ok && at.Before(wake) {
 			wake = at
@@ -96,15 +96,15 @@
 	return max(wake.Sub(l.Clock.Now()), minWait)
 }
 
-// nextTick returns the next multiple of Every. The duties of a process tick
-// together, so that it wakes up once for all of them.
+// nextTick returns the next multiple of Interval. Duties with the same interval
+// then tick at the same time, so that the process wakes up once for all of them.
 func (l *Looper[T]) nextTick(now cassiatally.Instant) cassiatally.Instant {
-	return now.Add(l.Every - time.Duration(now)%l.Every)
+	return now.Add(l.Interval - time.Duration(now)%l.Interval)
 }
 
 func (l *Looper[T]) tickIfDue() {
 	now := l.Clock.Now()
-	due := now.Reached(l.next)
+	due := now.Reached(l.nextTickAt)
 	if !due && l.NextWake != nil {
 		at, ok := l.NextWake()
 		due = ok && now.Reached(at)
@@ -112,8 +112,8 @@
 	if !due {
 		return
 	}
-	if now.Reached(l.next) {
-		l.next = l.nextTick(now)
+	if now.Reached(l.nextTickAt) {
+		l.nextTickAt = l.nextTick(now)
 	}
 	l.Tick(now)
 }
--- a/cassiatally/protocol/codec_test.go
+++ b/cassiatally/protocol/codec_test.go
@@ -13,7 +13,7 @@
 	"github.com/cassiatally/cassiatally/cassiatally/protocol"
 )
 
-func messages() []cassiatally.Message {
+func sampleMessages() []cassiatally.Message {
 	ref := cassiatally.NodeRef{Node: "depot-1", Incarnation: 7}
 	id := cassiatally.CallID{Origin: 7, Seq: 9}
 	shard := cassiatally.ShardRef{DataCentre: "north", Shard: 3}
@@ -56,11 +56,11 @@
 	}
 }
 
-// Guards against a field that one end writes and the other does not read.
-func TestEveryMessageSurvivesTheWire(t *testing.T) {
+// Guards against a field that Encode leaves out or Decode does not read back.
+func TestMessagesRoundTrip(t *testing.T) {
 	c, err := protocol.New()
 	is.New(t).NoErr(err)
-	for _, m := range messages() {
+	for _, m := range sampleMessages() {
 		t.Run(fmt.Sprintf("%T", m), func(t *testing.T) {
 			is := is.New(t)
 			frame, err := c.Encode(m)
@@ -72,8 +72,8 @@
 	}
 }
 
-// Guards against a malformed frame that is taken for a message or reported
-// without saying what is wrong with it.
+// Guards against a malformed frame that is decoded to a message, or refused with
+// an error of another kind.
 func TestMalformedFrames(t *testing.T) {
 	encode := func(v any) []byte {
 		b, err := cbor.Marshal(v)
@@ -94,7 +94,7 @@
 		{"wrong field type", encode([]any{1, 2, map[int]string{1: "one"}}), cassiatally.KindProtocol},
 		{"duplicate field", []byte{0x83, 1, 2, 0xa2, 1, 1, 1, 2}, cassiatally.KindProtocol},
 		{"huge array length", []byte{0x83, 1, 13, 0xa1, 1, 0x9b, 0, 0, 0, 1, 0, 0, 0, 0}, cassiatally.KindProtocol},
-		{"too large", make([]byte, protocol.MaxFrame+1), cassiatally.KindTooLarge},
+		{"too large", make([]byte, protocol.MaxFrameBytes+1), cassiatally.KindTooLarge},
 	}
 	c, err := protocol.New()
 	is.New(t).NoErr(err)
@@ -115,7 +115,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	for _, m := range messages() {
+	for _, m := range sampleMessages() {
 		frame, err := c.Encode(m)
 		if err != nil {
 			f.Fatal(err)
--- a/cassiatally/settingsloader/loader_test.go
+++ b/cassiatally/settingsloader/loader_test.go
@@ -12,12 +12,12 @@
 	"github.com/cassiatally/cassiatally/cassiatally/settingsloader"
 )
 
-const smallest = `node: {id: n1, data_centre: east}
+const minimalSettings = `node: {id: n1, data_centre: east}
 listen: {callers: "127.0.0.1:1", links: "127.0.0.1:2"}
 log: {address: "http://127.0.0.1:3"}
 `
 
-// Guards against example files that fall behind the loader.
+// Guards against example files that the loader no longer accepts.
 func TestExamplesLoad(t *testing.T) {
 	for _, name := range []string{"barrier", "intake"} {
 		t.Run(name, func(t *testing.T) {
@@ -31,11 +31,11 @@
 	}
 }
 
-// Guards against defaults that are lost or differ from the documented figures,
-// and against a description that does not read back.
+// Guards against defaults that are missing or differ from the documented values,
+// and against a description that Load reads back to other settings.
 func TestDefaultsAndDescription(t *testing.T) {
 	is := is.New(t)
-	s, err := settingsloader.Loader{}.Load([]byte(smallest))
+	s, err := settingsloader.Loader{}.Load([]byte(minimalSettings))
 	is.NoErr(err)
 	is.Equal(s.Advertise.Links, cassiatally.Address("127.0.0.1:2"))
 	is.Equal(s.Gossip.RemoveAfter, 10*time.Second)
@@ -46,13 +46,13 @@
 	is.True(strings.Contains(s.Describe(), "dead_after: 1.5s\n"))
 }
 
-// Guards against faults that are accepted, or reported at the wrong place or
-// without advice.
+// Guards against errors that are accepted, reported at a wrong position, or
+// reported without a fix.
 func TestProblems(t *testing.T) {
 	cases := []struct {
 		name, add    string
 		line, column int
-		key, wrong   string
+		key, message string
 	}{
 		{"unknown section", "listn: {}", 4, 1, "listn", "unknown"},
 		{"unknown key in a section", "gossip:\n  intervall: 1s", 5, 3, "gossip.intervall", "unknown"},
@@ -72,13 +72,13 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			_, problems := settingsloader.Check([]byte(smallest + c.add + "\n"))
+			_, problems := settingsloader.Check([]byte(minimalSettings + c.add + "\n"))
 			is.Equal(len(problems), 1)
 			p := problems[0]
 			is.Equal([]int{p.Line, p.Column}, []int{c.line, c.column})
 			is.Equal(p.Key, c.key)
-			is.True(strings.Contains(p.Wrong, c.wrong)) // says what is wrong
-			is.True(p.Right != "")
+			is.True(strings.Contains(p.Message, c.message)) // says what is wrong
+			is.True(p.Fix != "")
 		})
 	}
 }
@@ -96,26 +96,26 @@
 	}
 }
 
-// Guards against an advertised address to which nobody can connect.
+// Guards against an advertised link address to which other nodes cannot connect.
 func TestUnspecifiedLinkAddress(t *testing.T) {
 	is := is.New(t)
-	text := strings.Replace(smallest, "127.0.0.1:2", "0.0.0.0:2", 1)
+	text := strings.Replace(minimalSettings, "127.0.0.1:2", "0.0.0.0:2", 1)
 	_, problems := settingsloader.Check([]byte(text))
 	is.Equal(len(problems), 1)
 	is.Equal(problems[0].Key, "listen.links")
 	_, problems = settingsloader.Check([]byte(text + "advertise: {links: '10.0.0.9:2'}\n"))
 	is.Equal(len(problems), 0)
-	_, problems = settingsloader.Check([]byte(strings.Replace(smallest, "127.0.0.1:2", "0.0.0.0:0", 1)))
+	_, problems = settingsloader.Check([]byte(strings.Replace(minimalSettings, "127.0.0.1:2", "0.0.0.0:0", 1)))
 	is.Equal(len(problems), 1)
 }
 
-// Guards against panics on malformed files, problems without a place, and
-// settings that are accepted but do not survive their own description.
+// Guards against panics on malformed files, problems without a position, and
+// accepted settings whose description does not load back to the same settings.
 func FuzzLoad(f *testing.F) {
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, problems := settingsloader.Check(data)
 		for _, p := range problems {
-			if p.Line < 1 || p.Column < 1 || p.Wrong == "" || p.Right == "" {
+			if p.Line < 1 || p.Column < 1 || p.Message == "" || p.Fix == "" {
 				t.Fatalf("incomplete problem %+v", p)
 			}
 		}
--- a/node/claimkeeper/claimkeeper.go
+++ b/node/claimkeeper/claimkeeper.go
@@ -90,11 +90,11 @@
 	k.pulledAt = make(map[cassiatally.DataCentre]cassiatally.Instant)
 	k.view.Store(&shardView{home: k.DataCentre, own: k.Assigner.Snapshot()})
 	k.duty = looper.Looper[event]{
-		Clock:  k.Clock,
-		Inbox:  k.inbox,
-		Handle: func(now cassiatally.Instant, e event) { e.apply(k, now) },
-		Tick:   k.tick,
-		Every:  tickEvery,
+		Clock:    k.Clock,
+		Inbox:    k.inbox,
+		Handle:   func(now cassiatally.Instant, e event) { e.apply(k, now) },
+		Tick:     k.tick,
+		Interval: tickEvery,
 	}
 	k.duty.Run()
 	k.helpers.Go(k.serveAppends)
@@ -102,7 +102,7 @@
 
 // Refused returns how many messages found no room in the inbox.
 func (k *Keeper) Refused() uint64 {
-	refused, _ := k.inbox.Lost()
+	refused, _ := k.inbox.LossCounts()
 	return refused
 }
 
--- a/node/executor/executor.go
+++ b/node/executor/executor.go
@@ -151,11 +151,11 @@
 	x.counts.Store(&runner.Counts{})
 	x.marked.Store(&marked{})
 	x.duty = looper.Looper[event]{
-		Clock:  x.Clock,
-		Inbox:  x.inbox,
-		Handle: func(now cassiatally.Instant, e event) { e.apply(x, now) },
-		Tick:   x.tick,
-		Every:  tickEvery,
+		Clock:    x.Clock,
+		Inbox:    x.inbox,
+		Handle:   func(now cassiatally.Instant, e event) { e.apply(x, now) },
+		Tick:     x.tick,
+		Interval: tickEvery,
 		NextWake: func() (cassiatally.Instant, bool) {
 			return x.ticked.Add(queueTick), x.Runner.Queued() > 0
 		},
@@ -165,7 +165,7 @@
 
 // Refused returns how many messages found no room in the inbox.
 func (x *Executor) Refused() uint64 {
-	refused, _ := x.inbox.Lost()
+	refused, _ := x.inbox.LossCounts()
 	return refused
 }
 
--- a/node/instancekeeper/instancekeeper.go
+++ b/node/instancekeeper/instancekeeper.go
@@ -98,11 +98,11 @@
 	service := k.Service
 	k.service.Store(&service)
 	k.duty = looper.Looper[event]{
-		Clock:  k.Clock,
-		Inbox:  k.inbox,
-		Handle: func(now cassiatally.Instant, e event) { e.apply(k, now) },
-		Tick:   func(cassiatally.Instant) { k.probeExpected() },
-		Every:  tickEvery,
+		Clock:    k.Clock,
+		Inbox:    k.inbox,
+		Handle:   func(now cassiatally.Instant, e event) { e.apply(k, now) },
+		Tick:     func(cassiatally.Instant) { k.probeExpected() },
+		Interval: tickEvery,
 	}
 	k.duty.Run()
 }
--- a/node/routekeeper/routekeeper.go
+++ b/node/routekeeper/routekeeper.go
@@ -79,11 +79,11 @@
 	k.ctx, k.cancel = context.WithCancel(context.Background())
 	k.inbox = ring.New[event](inboxSize, ring.RefuseNewest)
 	k.duty = looper.Looper[event]{
-		Clock:  k.Clock,
-		Inbox:  k.inbox,
-		Handle: func(now cassiatally.Instant, e event) { e.apply(k, now) },
-		Tick:   func(cassiatally.Instant) {},
-		Every:  tickEvery,
+		Clock:    k.Clock,
+		Inbox:    k.inbox,
+		Handle:   func(now cassiatally.Instant, e event) { e.apply(k, now) },
+		Tick:     func(cassiatally.Instant) {},
+		Interval: tickEvery,
 	}
 	k.duty.Run()
 	k.follow.Go(k.readSource)
@@ -112,7 +112,7 @@
 
 // Refused returns how many messages found no room in the inbox.
 func (k *Keeper) Refused() uint64 {
-	refused, _ := k.inbox.Lost()
+	refused, _ := k.inbox.LossCounts()
 	return refused
 }
 
--- a/node/sampler/sampler.go
+++ b/node/sampler/sampler.go
@@ -37,11 +37,11 @@
 func (s *Sampler) Run() {
 	s.totals = make(map[string]uint64)
 	s.duty = looper.Looper[struct{}]{
-		Clock:  s.Clock,
-		Inbox:  ring.New[struct{}](1, ring.RefuseNewest),
-		Handle: func(cassiatally.Instant, struct{}) {},
-		Tick:   s.tick,
-		Every:  every,
+		Clock:    s.Clock,
+		Inbox:    ring.New[struct{}](1, ring.RefuseNewest),
+		Handle:   func(cassiatally.Instant, struct{}) {},
+		Tick:     s.tick,
+		Interval: every,
 	}
 	s.duty.Run()
 }
