--- a/cassiatally/instancetracker/tracker.go
+++ b/cassiatally/instancetracker/tracker.go
@@ -6,7 +6,7 @@
 //
 //	t := &instancetracker.Tracker{}
 //	if t.Observe(now, report) { announce(t.Current()) }
-//	if t.Left(now, instance) { withdraw() }
+//	if t.RecordLeave(now, instance) { withdraw() }
 //
 // A Tracker is not safe for concurrent use.
 package instancetracker
@@ -98,8 +98,8 @@
 	return true
 }
 
-// Left records that an instance has left and tells whether it was in place.
-func (t *Tracker) Left(now cassiatally.Instant, id cassiatally.InstanceID) bool {
+// RecordLeave records that an instance has left and tells whether it was in place.
+func (t *Tracker) RecordLeave(now cassiatally.Instant, id cassiatally.InstanceID) bool {
 	if !t.known || t.current.Instance != id {
 		// It may have been acknowledged by an earlier start of this node, and its late
 		// reports must not bring it back.
--- a/cassiatally/instancetracker/tracker_test.go
+++ b/cassiatally/instancetracker/tracker_test.go
@@ -62,7 +62,7 @@
 	is := is.New(t)
 	tr := &instancetracker.Tracker{}
 	is.True(tr.Observe(0, report("a", 5, 1, ready)))
-	is.True(tr.Left(0, "a"))
+	is.True(tr.RecordLeave(0, "a"))
 	_, ok := tr.Current()
 	is.True(!ok)
 	is.True(!tr.Observe(0, report("a", 5, 2, ready)))
@@ -70,7 +70,7 @@
 	is.True(!tr.Observe(0, report("a", 5, 3, ready)))
 
 	restarted := &instancetracker.Tracker{}
-	is.True(!restarted.Left(0, "a")) // it was in place at an earlier start of the node
+	is.True(!restarted.RecordLeave(0, "a")) // it was in place at an earlier start of the node
 	is.True(!restarted.Observe(0, report("a", 5, 3, ready)))
 	const later = cassiatally.Instant(time.Minute)
 	is.True(restarted.Observe(later, report("a", 9, 1, ready))) // it started again
--- a/cassiatally/runner/counts.go
+++ b/cassiatally/runner/counts.go
@@ -15,17 +15,17 @@
 	Count uint64
 }
 
-// Waited adds up the time in the queue of the calls of one rank that were started.
-type Waited struct {
+// QueueWait adds up the time in the queue of the calls of one rank that were started.
+type QueueWait struct {
 	Started uint64
-	Time    time.Duration
+	Total   time.Duration
 }
 
 // Counts are the totals that operators watch.
 type Counts struct {
 	// Sheds is ordered by rank and kind.
-	Sheds  []Shed
-	Waited [cassiatally.MaxRanks]Waited
+	Sheds     []Shed
+	QueueWait [cassiatally.MaxRanks]QueueWait
 	// LateResults arrived for runs that had been answered.
 	LateResults uint64
 	// Crashes counts the times that the backend server broke off runs.
@@ -39,7 +39,7 @@
 
 // Counts returns a copy of the totals so far.
 func (r *Runner) Counts() Counts {
-	c := Counts{Waited: r.waited, LateResults: r.late, Crashes: uint64(r.crashes)}
+	c := Counts{QueueWait: r.waited, LateResults: r.late, Crashes: uint64(r.crashes)}
 	for k, n := range r.sheds {
 		c.Sheds = append(c.Sheds, Shed{Kind: k.kind, Rank: k.rank, Count: n})
 	}
@@ -56,5 +56,5 @@
 func (r *Runner) countStart(now cassiatally.Instant, rec *record) {
 	w := &r.waited[min(rec.call.Rank, cassiatally.MaxRanks-1)]
 	w.Started++
-	w.Time += now.Sub(rec.queued)
+	w.Total += now.Sub(rec.queued)
 }
--- a/cassiatally/runner/crash.go
+++ b/cassiatally/runner/crash.go
@@ -43,8 +43,8 @@
 	return r.release(nil, now)
 }
 
-// HandleCrashNews takes crashes that another node tells and acknowledges them.
-func (r *Runner) HandleCrashNews(now cassiatally.Instant, from cassiatally.NodeID, g cassiatally.Gossip) []cassiatally.Action {
+// HandleCrashReports takes crashes that another node tells and acknowledges them.
+func (r *Runner) HandleCrashReports(now cassiatally.Instant, from cassiatally.NodeID, g cassiatally.Gossip) []cassiatally.Action {
 	r.quarantine.Merge(now, g.Crashes)
 	return []cassiatally.Action{cassiatally.Send{To: from, Message: cassiatally.Gossip{From: r.self, Reply: true, CrashAck: g.CrashNews}}}
 }
--- a/cassiatally/runner/crashfleet_test.go
+++ b/cassiatally/runner/crashfleet_test.go
@@ -263,7 +263,7 @@
 func (n *fleetNode) gossip(from cassiatally.NodeRef, g cassiatally.Gossip) {
 	switch {
 	case g.CrashNews != 0:
-		n.carryOut(n.HandleCrashNews(n.m.now, from.Node, g))
+		n.carryOut(n.HandleCrashReports(n.m.now, from.Node, g))
 		return
 	case g.CrashAck != 0:
 		n.carryOut(n.HandleCrashAck(n.m.now, from.Node, g.CrashAck))
--- a/cassiatally/runner/runner.go
+++ b/cassiatally/runner/runner.go
@@ -104,7 +104,7 @@
 	late       uint64
 	crashes    cassiatally.CrashNumber
 	sheds      map[shedKey]uint64
-	waited     [cassiatally.MaxRanks]Waited
+	waited     [cassiatally.MaxRanks]QueueWait
 }
 
 // New returns a runner without a backend server. nextID draws ids for onward
--- a/cassiatally/runner/runner_test.go
+++ b/cassiatally/runner/runner_test.go
@@ -287,7 +287,7 @@
 	is := is.New(t)
 	h := newHarness(1)
 	news := cassiatally.Gossip{CrashNews: 7, Crashes: []cassiatally.CrashReport{{Fingerprint: 1, Crashes: 3}}}
-	got := h.HandleCrashNews(start, "b", news)
+	got := h.HandleCrashReports(start, "b", news)
 	is.Equal(h.quarantine.merged, news.Crashes)
 	is.Equal(got, []cassiatally.Action{cassiatally.Send{To: "b", Message: cassiatally.Gossip{
 		From: cassiatally.NodeRef{Node: "depot-1", Incarnation: 1}, Reply: true, CrashAck: 7,
@@ -558,8 +558,8 @@
 		{Kind: cassiatally.KindBackendRefused, Rank: 2, Count: 1},
 		{Kind: cassiatally.KindExpired, Rank: 3, Count: 1},
 	})
-	is.Equal(c.Waited[0], runner.Waited{Started: 1})
-	is.Equal(c.Waited[2], runner.Waited{Started: 1, Time: time.Second / 4})
+	is.Equal(c.QueueWait[0], runner.QueueWait{Started: 1})
+	is.Equal(c.QueueWait[2], runner.QueueWait{Started: 1, Total: time.Second / 4})
 	is.Equal(c.LateResults, uint64(1))
 }
 
--- a/node/executor/executor.go
+++ b/node/executor/executor.go
@@ -380,7 +380,7 @@
 		x.carryOut(now, x.Runner.HandleCrashAck(now, e.from, e.news.CrashAck))
 		return
 	}
-	x.carryOut(now, x.Runner.HandleCrashNews(now, e.from, e.news))
+	x.carryOut(now, x.Runner.HandleCrashReports(now, e.from, e.news))
 }
 
 func (e peersEvent) apply(x *Executor, now cassiatally.Instant) {
--- a/node/instancekeeper/instancekeeper.go
+++ b/node/instancekeeper/instancekeeper.go
@@ -182,7 +182,7 @@
 
 func (e leftEvent) apply(k *Keeper, now cassiatally.Instant) {
 	defer close(e.done)
-	if k.Tracker.Left(now, e.id) {
+	if k.Tracker.RecordLeave(now, e.id) {
 		k.Logger.Info("instance left", "instance", e.id)
 		k.Backend.Withdraw()
 	}
--- a/node/supervisor/status.go
+++ b/node/supervisor/status.go
@@ -157,7 +157,7 @@
 	out := adminserver.LocalStatus{
 		State:       cassiatally.EndpointNone.String(),
 		Sheds:       shedStatus(counts.Sheds),
-		Queue:       queueStatus(counts.Waited),
+		Queue:       queueStatus(counts.QueueWait),
 		LateResults: counts.LateResults,
 		Crashes:     counts.Crashes,
 	}
@@ -197,11 +197,11 @@
 	return out
 }
 
-func queueStatus(waited [cassiatally.MaxRanks]runner.Waited) []adminserver.QueueStatus {
+func queueStatus(waited [cassiatally.MaxRanks]runner.QueueWait) []adminserver.QueueStatus {
 	out := []adminserver.QueueStatus{}
 	for r, w := range waited {
 		if w.Started > 0 {
-			out = append(out, adminserver.QueueStatus{Rank: r, Started: w.Started, WaitSeconds: w.Time.Seconds()})
+			out = append(out, adminserver.QueueStatus{Rank: r, Started: w.Started, WaitSeconds: w.Total.Seconds()})
 		}
 	}
 	return out
