--- a/cassiatally/runner/children.go
+++ b/cassiatally/runner/children.go
@@ -9,21 +9,21 @@
 // maxChildren bounds the onward calls of one run.
 const maxChildren = 256
 
-// ChildCall is an onward call as the backend server makes it.
+// ChildCall is an onward call as the backend server sends it.
 type ChildCall struct {
-	// Waiter identifies who waits for the answer on this node.
+	// Waiter identifies the local request that waits for the answer.
 	Waiter cassiatally.CallID
-	// Parent is the run that makes the call. When it is zero, ParentName names it by
-	// its caller's id.
+	// Parent is the run that makes the call. When it is zero, ParentName identifies
+	// the run by the id that its caller gave to the request.
 	Parent     cassiatally.CallID
 	ParentName cassiatally.RequestName
 	// Onward is set instead of Service and Work when a front end has prepared the
-	// request. It is then a call of its own kind of work, which the application may
-	// repeat as it likes.
+	// request. Such a call has its own kind of work, so it may be non-idempotent even
+	// when its parent is idempotent, and the application may repeat it.
 	Onward  *cassiatally.Request
 	Service cassiatally.Service
 	Work    cassiatally.WorkKind
-	// Name tells two calls of one parent apart; empty means by body.
+	// Name distinguishes calls of one parent; without it their bodies do.
 	Name       string
 	Key        cassiatally.Key
 	Idempotent bool
@@ -40,9 +40,9 @@
 }
 
 type child struct {
-	id      cassiatally.CallID
-	waiters []cassiatally.CallID
-	granted cassiatally.RetryCount
+	id             cassiatally.CallID
+	waiters        []cassiatally.CallID
+	retriesGranted cassiatally.RetryCount
 	// answer is kept for non-idempotent calls, so that a repetition by the backend
 	// server gets the first result.
 	answer *cassiatally.Answer
@@ -51,69 +51,69 @@
 type childRef struct {
 	parent cassiatally.CallID
 	key    childKey
-	// made is the key of the call as the backend server made it.
-	made childKey
+	// attemptKey is the key of the call before it was made unique.
+	attemptKey childKey
 }
 
-// madeState tells what is known of the latest of several equal onward calls.
-type madeState uint8
+// attemptState is the state of the latest of several equal onward calls.
+type attemptState uint8
 
 const (
-	madeNone madeState = iota
-	madeInFlight
-	madeFailed
+	attemptNone attemptState = iota
+	attemptInFlight
+	attemptFailed
 )
 
 // children are the onward calls of one run.
 type children struct {
-	known map[childKey]*child
-	// made has the idempotent calls that have not succeeded.
-	made        map[childKey]madeState
+	calls map[childKey]*child
+	// attempts holds the idempotent calls that have not succeeded.
+	attempts    map[childKey]attemptState
 	outstanding int
-	// failed is set once an onward call was not answered with a success.
-	failed bool
-	since  cassiatally.Instant
-	waited time.Duration
-	left   cassiatally.RetryCount
-	spent  cassiatally.RetryCount
-	loads  []cassiatally.ServiceLoad
+	// anyFailed is set once an onward call has failed.
+	anyFailed    bool
+	waitingSince cassiatally.Instant
+	waited       time.Duration
+	retriesLeft  cassiatally.RetryCount
+	retriesSpent cassiatally.RetryCount
+	loads        []cassiatally.ServiceLoad
 }
 
-func (c *children) begin(now cassiatally.Instant) {
+func (c *children) callStarted(now cassiatally.Instant) {
 	if c.outstanding == 0 {
-		c.since = now
+		c.waitingSince = now
 	}
 	c.outstanding++
 }
 
-func (c *children) end(now cassiatally.Instant) {
+func (c *children) callEnded(now cassiatally.Instant) {
 	c.outstanding--
 	if c.outstanding == 0 {
-		c.waited += now.Sub(c.since)
+		c.waited += now.Sub(c.waitingSince)
 	}
 }
 
 func (c *children) selfTime(started, now cassiatally.Instant) time.Duration {
 	waited := c.waited
 	if c.outstanding > 0 {
-		waited += now.Sub(c.since)
+		waited += now.Sub(c.waitingSince)
 	}
 	return now.Sub(started) - waited
 }
 
-// grant hands half of the remaining retries, rounded up, to a child. What the
-// child does not spend comes back with its answer.
-func (c *children) grant() cassiatally.RetryCount {
-	g := (c.left + 1) / 2
-	c.left -= g
+// grantRetries hands half of the remaining retries, rounded up, to a child. Those
+// that the child does not spend are returned with its answer.
+func (c *children) grantRetries() cassiatally.RetryCount {
+	g := (c.retriesLeft + 1) / 2
+	c.retriesLeft -= g
 	return g
 }
 
-// BeginChild takes an onward call of a run in flight. It submits the call, joins
+// BeginChild handles an onward call of a run in flight. It submits the call, joins
 // it to an equal one, or delivers a refusal to the waiter.
 func (r *Runner) BeginChild(now cassiatally.Instant, c ChildCall) []cassiatally.Action {
 	if c.Parent == (cassiatally.CallID{}) {
-		c.Parent = r.named[c.ParentName]
+		c.Parent = r.runsByName[c.ParentName]
 	}
 	parent, ok := r.records[c.Parent]
 	if !ok || parent.phase != phaseRunning {
@@ -123,10 +123,10 @@
 		return deliverRefusal(c.Waiter, kind, detail)
 	}
 	key := childKeyOf(c)
-	if known, ok := parent.children.known[key]; ok && !c.Idempotent {
-		return joinChild(known, c.Waiter)
+	if equal, ok := parent.children.calls[key]; ok && !c.Idempotent {
+		return joinChild(equal, c.Waiter)
 	}
-	if parent.children.repeats(key, c) && !parent.children.takeRetry() {
+	if parent.children.isRetry(key, c) && !parent.children.spendRetry() {
 		return deliverRefusal(c.Waiter, cassiatally.KindRetryBudgetSpent, "the application sent the call again, and the root request has no retries left")
 	}
 	return r.submitChild(now, parent, key, c)
@@ -140,7 +140,7 @@
 		return cassiatally.KindCancelled, "the caller of the parent left"
 	case !c.Idempotent && parent.call.Idempotent && c.Key == "" && c.Onward == nil:
 		return cassiatally.KindParentIdempotent, "mark the parent's kind of work as non-idempotent in the sheet, or send a minted key"
-	case len(parent.children.known) >= maxChildren:
+	case len(parent.children.calls) >= maxChildren:
 		return cassiatally.KindBadRequest, "the run makes too many onward calls"
 	default:
 		return cassiatally.KindNone, ""
@@ -156,70 +156,70 @@
 	}
 }
 
-// repeats reports whether an idempotent call is a retry by the backend server.
-// Equal calls without a name may be in flight side by side, but one that follows
-// a failure is a retry.
-func (c *children) repeats(key childKey, call ChildCall) bool {
+// isRetry reports whether an idempotent call is a retry by the backend server.
+// Equal calls without a name may be in flight at the same time, but one that
+// follows a failure is a retry.
+func (c *children) isRetry(key childKey, call ChildCall) bool {
 	if !call.Idempotent {
 		return false
 	}
-	switch c.made[key] {
-	case madeFailed:
+	switch c.attempts[key] {
+	case attemptFailed:
 		return true
-	case madeInFlight:
+	case attemptInFlight:
 		return call.Name != ""
 	default:
 		return false
 	}
 }
 
-// takeRetry spends a retry of the root request. Retries by backend servers
-// multiply along the chain unless they come out of the same budget as those of
-// the nodes.
-func (c *children) takeRetry() bool {
-	if c.left == 0 {
+// spendRetry spends a retry of the root request and reports whether one was left.
+// Retries by backend servers multiply along the call chain unless they come out
+// of the same budget as those of the nodes.
+func (c *children) spendRetry() bool {
+	if c.retriesLeft == 0 {
 		return false
 	}
-	c.left--
-	c.spent++
+	c.retriesLeft--
+	c.retriesSpent++
 	return true
 }
 
-func (c *children) settle(made childKey, a cassiatally.Answer) {
+func (c *children) recordAttempt(key childKey, a cassiatally.Answer) {
 	switch {
-	case c.made[made] == madeNone:
+	case c.attempts[key] == attemptNone:
 	case a.Kind == cassiatally.KindNone:
-		delete(c.made, made)
+		delete(c.attempts, key)
 	default:
-		c.made[made] = madeFailed
+		c.attempts[key] = attemptFailed
 	}
 }
 
-func joinChild(known *child, waiter cassiatally.CallID) []cassiatally.Action {
-	if known.answer != nil {
-		return []cassiatally.Action{cassiatally.Deliver{Call: waiter, Answer: *known.answer}}
+func joinChild(c *child, waiter cassiatally.CallID) []cassiatally.Action {
+	if c.answer != nil {
+		return []cassiatally.Action{cassiatally.Deliver{Call: waiter, Answer: *c.answer}}
 	}
-	known.waiters = append(known.waiters, waiter)
+	c.waiters = append(c.waiters, waiter)
 	return nil
 }
 
 func (r *Runner) submitChild(now cassiatally.Instant, parent *record, key childKey, c ChildCall) []cassiatally.Action {
 	id := r.nextID()
-	granted := parent.children.grant()
-	if parent.children.known == nil {
-		parent.children.known = make(map[childKey]*child)
-		parent.children.made = make(map[childKey]madeState)
+	granted := parent.children.grantRetries()
+	if parent.children.calls == nil {
+		parent.children.calls = make(map[childKey]*child)
+		parent.children.attempts = make(map[childKey]attemptState)
 	}
-	made := key
+	attemptKey := key
 	if c.Idempotent {
-		parent.children.made[made] = madeInFlight
-		// Each idempotent call is tracked on its own, also when two are equal.
+		parent.children.attempts[attemptKey] = attemptInFlight
+		// Each idempotent call is tracked separately, even when two are equal.
 		key.name = id.String()
 	}
-	parent.children.known[key] = &child{id: id, waiters: []cassiatally.CallID{c.Waiter}, granted: granted}
-	parent.children.begin(now)
-	r.progress(now)
-	r.childRuns[id] = childRef{parent: c.Parent, key: key, made: made}
+	parent.children.calls[key] = &child{id: id, waiters: []cassiatally.CallID{c.Waiter}, retriesGranted: granted}
+	parent.children.callStarted(now)
+	r.recordProgress(now)
+	r.childRefs[id] = childRef{parent: c.Parent, key: key, attemptKey: attemptKey}
 	deadline := parent.deadline
 	if c.Remaining > 0 && now.Add(c.Remaining).Before(deadline) {
 		deadline = now.Add(c.Remaining)
@@ -249,49 +249,50 @@
 	return []cassiatally.Action{cassiatally.Submit{Request: req}}
 }
 
-// ChildAnswered takes the answer of an onward call.
+// ChildAnswered records the answer of an onward call and delivers it to all who
+// wait for it.
 func (r *Runner) ChildAnswered(now cassiatally.Instant, id cassiatally.CallID, a cassiatally.Answer) []cassiatally.Action {
-	ref, ok := r.childRuns[id]
+	ref, ok := r.childRefs[id]
 	if !ok {
 		return nil
 	}
-	delete(r.childRuns, id)
+	delete(r.childRefs, id)
 	parent, ok := r.records[ref.parent]
 	if !ok || parent.phase != phaseRunning {
 		return nil
 	}
-	known := parent.children.known[ref.key]
-	parent.children.end(now)
-	parent.children.settle(ref.made, a)
-	parent.children.failed = parent.children.failed || a.Kind != cassiatally.KindNone
-	spent := min(a.RetriesSpent, known.granted)
-	parent.children.left += known.granted - spent
-	parent.children.spent += spent
+	answered := parent.children.calls[ref.key]
+	parent.children.callEnded(now)
+	parent.children.recordAttempt(ref.attemptKey, a)
+	parent.children.anyFailed = parent.children.anyFailed || a.Kind != cassiatally.KindNone
+	spent := min(a.RetriesSpent, answered.retriesGranted)
+	parent.children.retriesLeft += answered.retriesGranted - spent
+	parent.children.retriesSpent += spent
 	parent.children.loads = mergeLoads(parent.children.loads, a.Loads)
-	actions := make([]cassiatally.Action, 0, len(known.waiters))
-	for _, w := range known.waiters {
+	actions := make([]cassiatally.Action, 0, len(answered.waiters))
+	for _, w := range answered.waiters {
 		actions = append(actions, cassiatally.Deliver{Call: w, Answer: a})
 	}
-	known.waiters = nil
-	known.answer = &a
+	answered.waiters = nil
+	answered.answer = &a
 	return actions
 }
 
 // AbandonChild withdraws an onward call for which the backend server does not wait
 // any more.
 func (r *Runner) AbandonChild(now cassiatally.Instant, waiter cassiatally.CallID) []cassiatally.Action {
-	for id, ref := range r.childRuns {
+	for id, ref := range r.childRefs {
 		parent := r.records[ref.parent]
 		if parent == nil {
 			continue
 		}
-		c := parent.children.known[ref.key]
+		c := parent.children.calls[ref.key]
 		if c == nil || len(c.waiters) != 1 || c.waiters[0] != waiter {
 			continue
 		}
-		delete(r.childRuns, id)
+		delete(r.childRefs, id)
 		c.waiters = nil
-		parent.children.end(now)
+		parent.children.callEnded(now)
 		return []cassiatally.Action{cassiatally.Withdraw{Call: id}}
 	}
 	return nil
@@ -300,16 +301,16 @@
 // abandonChildren withdraws the onward calls of a parent that has ended.
 func (r *Runner) abandonChildren(parent *record) []cassiatally.Action {
 	var actions []cassiatally.Action
-	for _, c := range parent.children.known {
+	for _, c := range parent.children.calls {
 		if len(c.waiters) == 0 {
 			continue
 		}
-		delete(r.childRuns, c.id)
+		delete(r.childRefs, c.id)
 		actions = append(actions, cassiatally.Withdraw{Call: c.id})
 		for _, w := range c.waiters {
 			actions = append(actions, cassiatally.Deliver{
 				Call:   w,
-				Answer: unknown(w, cassiatally.KindCancelled, "the parent run ended"),
+				Answer: unknownOutcome(w, cassiatally.KindCancelled, "the parent run ended"),
 			})
 		}
 	}
@@ -320,13 +321,13 @@
 	return []cassiatally.Action{cassiatally.Deliver{Call: waiter, Answer: notRun(waiter, kind, detail)}}
 }
 
-// mergeLoads adds the levels of further services. For a service that both know,
-// the weighted mean stands for its endpoints.
+// mergeLoads returns base with the loads of more added. A service that is in both
+// gets the weighted mean of their levels.
 func mergeLoads(base, more []cassiatally.ServiceLoad) []cassiatally.ServiceLoad {
 	out := append([]cassiatally.ServiceLoad(nil), base...)
 	for _, m := range more {
 		if at := indexOf(out, m.Service); at >= 0 {
-			out[at] = blend(out[at], m)
+			out[at] = weightedMean(out[at], m)
 			continue
 		}
 		out = append(out, m)
@@ -343,7 +344,7 @@
 	return -1
 }
 
-func blend(a, b cassiatally.ServiceLoad) cassiatally.ServiceLoad {
+func weightedMean(a, b cassiatally.ServiceLoad) cassiatally.ServiceLoad {
 	total := a.Weight + b.Weight
 	if total <= 0 {
 		return b
@@ -355,7 +356,7 @@
 	return cassiatally.ServiceLoad{Service: a.Service, Weight: total, Levels: levels}
 }
 
-// levelAt returns the level of a rank, which is 1 when it is left out.
+// levelAt returns the level of a rank, which is 1 when it is omitted.
 func levelAt(l cassiatally.ServiceLoad, rank int) float64 {
 	if rank >= len(l.Levels) {
 		return 1
--- a/cassiatally/runner/counts.go
+++ b/cassiatally/runner/counts.go
@@ -15,20 +15,20 @@
 	Count uint64
 }
 
-// QueueWait adds up the time in the queue of the calls of one rank that were started.
+// QueueWait adds up the time that the started calls of one rank spent in the queue.
 type QueueWait struct {
 	Started uint64
 	Total   time.Duration
 }
 
-// Counts are the totals that operators watch.
+// Counts holds the totals that are exported as metrics and on the status page.
 type Counts struct {
 	// Sheds is ordered by rank and kind.
 	Sheds     []Shed
 	QueueWait [cassiatally.MaxRanks]QueueWait
-	// LateResults arrived for runs that had been answered.
+	// LateResults counts the results for runs that had already been answered.
 	LateResults uint64
-	// Crashes counts the times that the backend server broke off runs.
+	// Crashes counts the crashes of the backend server that broke off runs.
 	Crashes uint64
 }
 
@@ -39,7 +39,7 @@
 
 // Counts returns a copy of the totals so far.
 func (r *Runner) Counts() Counts {
-	c := Counts{QueueWait: r.waited, LateResults: r.late, Crashes: uint64(r.crashes)}
+	c := Counts{QueueWait: r.queueWait, LateResults: r.lateResults, Crashes: uint64(r.crashes)}
 	for k, n := range r.sheds {
 		c.Sheds = append(c.Sheds, Shed{Kind: k.kind, Rank: k.rank, Count: n})
 	}
@@ -53,8 +53,8 @@
 	r.sheds[shedKey{min(rank, cassiatally.MaxRanks-1), kind}]++
 }
 
-func (r *Runner) countStart(now cassiatally.Instant, rec *record) {
-	w := &r.waited[min(rec.call.Rank, cassiatally.MaxRanks-1)]
+func (r *Runner) countQueueWait(now cassiatally.Instant, rec *record) {
+	w := &r.queueWait[min(rec.call.Rank, cassiatally.MaxRanks-1)]
 	w.Started++
 	w.Total += now.Sub(rec.queued)
 }
--- a/cassiatally/runner/crash.go
+++ b/cassiatally/runner/crash.go
@@ -9,81 +9,84 @@
 )
 
 const (
-	// crashWindow joins broken connections of one crash.
+	// crashWindow is the time within which broken connections count as one crash.
 	crashWindow = 200 * time.Millisecond
-	// withholdFor bounds the time for which callers wait for a peer that does not
+	// maxWithhold bounds the time for which callers wait for a peer that does not
 	// acknowledge a crash. It is half the time after which the link to a peer counts
 	// as dead, so a paused node delays those callers only.
-	withholdFor = 500 * time.Millisecond
-	// tellEvery is the pause before a crash is told again, since the first message
-	// may have been lost with its link.
-	tellEvery = 100 * time.Millisecond
+	maxWithhold = 500 * time.Millisecond
+	// crashResendInterval is the pause before crash reports are sent again, since the
+	// first message may have been lost with its link.
+	crashResendInterval = 100 * time.Millisecond
 )
 
-// crash is a crash of the backend server that other nodes have to know before
-// those are told whose runs it broke off. Otherwise the cause could be sent again
-// to a node that has not heard of it.
+// crash is a crash of the backend server that the peers have to acknowledge before
+// the runs that it broke off are answered. Otherwise the request that caused it
+// could be sent again to a node that has not received the report.
 type crash struct {
-	number  cassiatally.CrashNumber
-	news    []cassiatally.CrashReport
-	waiting []cassiatally.NodeID
-	until   cassiatally.Instant
-	again   cassiatally.Instant
-	broken  []*record
+	number           cassiatally.CrashNumber
+	reports          []cassiatally.CrashReport
+	unacknowledgedBy []cassiatally.NodeID
+	withholdUntil    cassiatally.Instant
+	resendAt         cassiatally.Instant
+	brokenRuns       []*record
 }
 
-// SetPeers sets the nodes beside the endpoints of each service, this one left
-// out. Those of the own service hear of each crash directly.
+// SetPeers sets the nodes of the endpoints of each service, except this one. The
+// peers of its own service receive each crash report directly.
 func (r *Runner) SetPeers(now cassiatally.Instant, peers map[cassiatally.Service][]cassiatally.NodeID) []cassiatally.Action {
 	r.peers = peers
 	own := peers[r.endpoint.Service]
-	for _, c := range r.untold {
-		c.waiting = slices.DeleteFunc(c.waiting, func(n cassiatally.NodeID) bool { return !slices.Contains(own, n) })
+	for _, c := range r.unacknowledgedCrashes {
+		c.unacknowledgedBy = slices.DeleteFunc(c.unacknowledgedBy, func(n cassiatally.NodeID) bool { return !slices.Contains(own, n) })
 	}
-	return r.release(nil, now)
+	return r.releaseAnswers(nil, now)
 }
 
-// HandleCrashReports takes crashes that another node tells and acknowledges them.
+// HandleCrashReports merges the crash reports of another node and acknowledges
+// them.
 func (r *Runner) HandleCrashReports(now cassiatally.Instant, from cassiatally.NodeID, g cassiatally.Gossip) []cassiatally.Action {
 	r.quarantine.Merge(now, g.Crashes)
 	return []cassiatally.Action{cassiatally.Send{To: from, Message: cassiatally.Gossip{From: r.self, Reply: true, CrashAck: g.CrashNews}}}
 }
 
-// HandleCrashAck takes the acknowledgement of a crash.
+// HandleCrashAck records the acknowledgement of a crash by a peer and answers the
+// runs that waited for it.
 func (r *Runner) HandleCrashAck(now cassiatally.Instant, from cassiatally.NodeID, number cassiatally.CrashNumber) []cassiatally.Action {
-	for _, c := range r.untold {
+	for _, c := range r.unacknowledgedCrashes {
 		if c.number == number {
-			c.waiting = slices.DeleteFunc(c.waiting, func(n cassiatally.NodeID) bool { return n == from })
+			c.unacknowledgedBy = slices.DeleteFunc(c.unacknowledgedBy, func(n cassiatally.NodeID) bool { return n == from })
 		}
 	}
-	return r.release(nil, now)
+	return r.releaseAnswers(nil, now)
 }
 
-// concludeBroken records the crash that broke off a run. The answer waits until
-// the peers know of it.
-func (r *Runner) concludeBroken(actions []cassiatally.Action, now cassiatally.Instant, rec *record, a cassiatally.Answer) []cassiatally.Action {
-	if rec.lastCrash == r.crashes || now.Sub(r.crashedAt) > crashWindow {
+// finishBrokenRun records the crash that broke off a run. The answer is withheld
+// until the peers have acknowledged the crash.
+func (r *Runner) finishBrokenRun(actions []cassiatally.Action, now cassiatally.Instant, rec *record, a cassiatally.Answer) []cassiatally.Action {
+	if rec.lastCrash == r.crashes || now.Sub(r.lastCrashAt) > crashWindow {
 		actions = r.recordCrash(actions, now, rec)
 	}
-	for _, c := range r.untold {
+	for _, c := range r.unacknowledgedCrashes {
 		if rec.lastCrash < c.number {
-			r.settle(now, rec, a)
-			rec.withheld = true
-			c.broken = append(c.broken, rec)
+			r.storeAnswer(now, rec, a)
+			rec.answerWithheld = true
+			c.brokenRuns = append(c.brokenRuns, rec)
 			return actions
 		}
 	}
-	return r.conclude(actions, now, rec, a)
+	return r.finishCall(actions, now, rec, a)
 }
 
-// recordCrash counts one crash for all connections that break together. A run
-// that started after the last crash shows a new one, however soon it breaks.
+// recordCrash counts one crash for all connections that break together. A broken
+// run that started after the last crash is evidence of a new one, however soon it
+// breaks.
 func (r *Runner) recordCrash(actions []cassiatally.Action, now cassiatally.Instant, broken *record) []cassiatally.Action {
 	r.crashes++
-	r.crashedAt = now
+	r.lastCrashAt = now
 	inFlight := []cassiatally.Fingerprint{broken.fingerprint}
 	for _, rec := range r.records {
-		if rec != broken && rec.mayHaveCrashed(now) {
+		if rec != broken && rec.mayHaveCausedCrash(now) {
 			inFlight = append(inFlight, rec.fingerprint)
 		}
 	}
@@ -94,48 +97,50 @@
 		return actions
 	}
 	c := &crash{
-		number: r.crashes, news: r.quarantine.News(now, inFlight), waiting: peers,
-		until: now.Add(withholdFor), again: now.Add(tellEvery),
+		number: r.crashes, reports: r.quarantine.News(now, inFlight), unacknowledgedBy: peers,
+		withholdUntil: now.Add(maxWithhold), resendAt: now.Add(crashResendInterval),
 	}
-	r.untold = append(r.untold, c)
-	return c.tell(actions, r.self)
+	r.unacknowledgedCrashes = append(r.unacknowledgedCrashes, c)
+	return c.sendReports(actions, r.self)
 }
 
-// mayHaveCrashed reports whether the backend server may have been working on the
-// request. It may go on for a while after the deadline or a cancellation.
-func (rec *record) mayHaveCrashed(now cassiatally.Instant) bool {
+// mayHaveCausedCrash reports whether the backend server may have been working on
+// the request, which it may do for a while after the deadline or a cancellation.
+func (rec *record) mayHaveCausedCrash(now cassiatally.Instant) bool {
 	return rec.phase == phaseRunning || (rec.cutOff && now.Sub(rec.ended) <= crashWindow)
 }
 
-func (c *crash) tell(actions []cassiatally.Action, self cassiatally.NodeRef) []cassiatally.Action {
-	for _, n := range c.waiting {
+func (c *crash) sendReports(actions []cassiatally.Action, self cassiatally.NodeRef) []cassiatally.Action {
+	for _, n := range c.unacknowledgedBy {
 		actions = append(actions, cassiatally.Send{To: n, Message: cassiatally.Gossip{
-			From: self, Reply: true, Crashes: c.news, CrashNews: c.number,
+			From: self, Reply: true, Crashes: c.reports, CrashNews: c.number,
 		}})
 	}
 	return actions
 }
 
-// tellAgain repeats the news to those who have not acknowledged it.
-func (r *Runner) tellAgain(actions []cassiatally.Action, now cassiatally.Instant) []cassiatally.Action {
-	actions = r.release(actions, now)
-	for _, c := range r.untold {
-		if now.Reached(c.again) {
-			c.again = now.Add(tellEvery)
-			actions = c.tell(actions, r.self)
+// resendCrashReports repeats the crash reports to the peers that have not
+// acknowledged them.
+func (r *Runner) resendCrashReports(actions []cassiatally.Action, now cassiatally.Instant) []cassiatally.Action {
+	actions = r.releaseAnswers(actions, now)
+	for _, c := range r.unacknowledgedCrashes {
+		if now.Reached(c.resendAt) {
+			c.resendAt = now.Add(crashResendInterval)
+			actions = c.sendReports(actions, r.self)
 		}
 	}
 	return actions
 }
 
-// release answers those whose crash all peers know or have had the time to.
-func (r *Runner) release(actions []cassiatally.Action, now cassiatally.Instant) []cassiatally.Action {
-	r.untold = slices.DeleteFunc(r.untold, func(c *crash) bool {
-		if len(c.waiting) > 0 && now.Before(c.until) {
+// releaseAnswers sends the withheld answers of crashes that all peers have
+// acknowledged, or that have been withheld for maxWithhold.
+func (r *Runner) releaseAnswers(actions []cassiatally.Action, now cassiatally.Instant) []cassiatally.Action {
+	r.unacknowledgedCrashes = slices.DeleteFunc(r.unacknowledgedCrashes, func(c *crash) bool {
+		if len(c.unacknowledgedBy) > 0 && now.Before(c.withholdUntil) {
 			return false
 		}
-		for _, rec := range c.broken {
-			rec.withheld = false
+		for _, rec := range c.brokenRuns {
+			rec.answerWithheld = false
 			actions = append(actions, cassiatally.Send{To: rec.from, Message: rec.answer})
 		}
 		return true
@@ -143,21 +148,22 @@
 	return actions
 }
 
-// mustWait reports whether the call may crash the backend server and has to wait
-// for another such call. Only one runs at a time, so that a further crash points
-// at a single one of them. It waits for calls of the phase from on.
+// mustWait reports whether the call is a suspect and has to wait for another one.
+// Only one suspect runs at a time, so that a further crash identifies its cause. If
+// from is phaseQueued, the call waits for queued and running suspects, otherwise
+// for running ones only.
 func (r *Runner) mustWait(now cassiatally.Instant, rec *record, from phase) bool {
 	if faultswitch.Off(faultswitch.SuspectsWait) || !r.quarantine.Suspect(now, rec.fingerprint) {
 		return false
 	}
-	return (from == phaseQueued && len(r.held) > 0) || r.suspectBeside(now, rec, from)
+	return (from == phaseQueued && len(r.heldSuspects) > 0) || r.hasOtherSuspect(now, rec, from)
 }
 
-// suspectBeside reports whether another request that was in flight in a crash is
-// queued, if from is phaseQueued, or running.
-func (r *Runner) suspectBeside(now cassiatally.Instant, beside *record, from phase) bool {
+// hasOtherSuspect reports whether another request that was in flight in a crash is
+// running, or queued if from is phaseQueued.
+func (r *Runner) hasOtherSuspect(now cassiatally.Instant, except *record, from phase) bool {
 	for _, rec := range r.records {
-		if rec != beside && rec.phase >= from && rec.phase <= phaseRunning && !rec.held && r.quarantine.Suspect(now, rec.fingerprint) {
+		if rec != except && rec.phase >= from && rec.phase <= phaseRunning && !rec.held && r.quarantine.Suspect(now, rec.fingerprint) {
 			return true
 		}
 	}
--- a/cassiatally/runner/crashfleet_test.go
+++ b/cassiatally/runner/crashfleet_test.go
@@ -19,42 +19,44 @@
 )
 
 const (
-	fleetNodes    = 5
-	fleetService  = cassiatally.Service("depot-svc")
-	poisonBody    = "poison"
-	fleetRun      = 150 * time.Millisecond
-	fleetRestart  = 250 * time.Millisecond
-	fleetTick     = 100 * time.Millisecond
-	fleetAttempts = 3
-	// fleetDuration leaves a sender of 24 copies time to end.
+	fleetNodes        = 5
+	fleetService      = cassiatally.Service("depot-svc")
+	poisonBody        = "poison"
+	fleetRunTime      = 150 * time.Millisecond
+	minRestartTime    = 250 * time.Millisecond
+	fleetTickInterval = 100 * time.Millisecond
+	fleetAttempts     = 3
+	// fleetDuration is long enough for a sender of 24 copies to finish.
 	fleetDuration = 10 * time.Second
-	crashesUpTo   = 3
+	maxCrashes    = 3
 )
 
-// fleetPlan is what a model run draws.
+// fleetPlan holds the random parameters of one run of the model.
 type fleetPlan struct {
 	seed uint64
-	// delay bounds the time of a message between nodes.
-	delay time.Duration
-	// innocents is the number of innocent requests that callers keep in flight.
-	innocents int
-	// popular is the number of them with the same body.
+	// maxDelay bounds the delay of a message between nodes.
+	maxDelay time.Duration
+	// unrelated is the number of unrelated requests, each with a body of its own,
+	// that callers keep in flight.
+	unrelated int
+	// popular is the number of further unrelated requests, all with the same body.
 	popular int
-	// pause is between an answer to the sender of the poison and its next copy.
+	// pause is the time between an answer to a sender of the poison and its next
+	// copy.
 	pause  time.Duration
 	copies int
-	// senders send the poison side by side.
+	// senders is the number of callers that send the poison concurrently.
 	senders int
-	// lost is the number of messages and of acknowledgements that are lost of each
-	// crash, for each peer.
+	// lost is the number of crash reports and of acknowledgements that are lost for
+	// each crash and peer.
 	lost int
 }
 
 func drawPlan(t *rapid.T) fleetPlan {
 	return fleetPlan{
 		seed:      rapid.Uint64().Draw(t, "seed"),
-		delay:     time.Duration(rapid.IntRange(1, 60).Draw(t, "delay_ms")) * time.Millisecond,
-		innocents: rapid.IntRange(0, 80).Draw(t, "innocents"),
+		maxDelay:  time.Duration(rapid.IntRange(1, 60).Draw(t, "delay_ms")) * time.Millisecond,
+		unrelated: rapid.IntRange(0, 80).Draw(t, "unrelated"),
 		popular:   rapid.IntRange(0, 10).Draw(t, "popular"),
 		pause:     time.Duration(rapid.IntRange(0, 400).Draw(t, "pause_ms")) * time.Millisecond,
 		copies:    rapid.IntRange(4, 24).Draw(t, "copies"),
@@ -68,8 +70,9 @@
 	do  func()
 }
 
-// fleetModel has the decisions of several nodes, whose messages take time, and
-// callers that send the poison in sequence beside innocent requests.
+// fleetModel simulates several nodes, whose messages are delayed, and callers that
+// send the poison, a request that crashes its backend server, together with
+// unrelated requests.
 type fleetModel struct {
 	plan    fleetPlan
 	rand    *rand.Rand
@@ -79,38 +82,39 @@
 	events  []fleetEvent
 	nodes   []*fleetNode
 	byName  map[cassiatally.NodeID]*fleetNode
-	waits   map[cassiatally.CallID]func(cassiatally.Answer)
+	replies map[cassiatally.CallID]func(cassiatally.Answer)
 	calls   uint64
-	dropped map[newsID]int
+	sent    map[crashMessageID]int
 	crashes int
 	trace   []string
-	// blamed counts innocent requests that were refused as quarantined.
-	blamed, completed, failed int
+	// quarantined, completed and failed count the answers to unrelated requests.
+	quarantined, completed, failed int
 }
 
-// newsID names the messages, or the acknowledgements, of a crash to one peer.
-type newsID struct {
-	from, to  cassiatally.NodeID
-	news, ack cassiatally.CrashNumber
+// crashMessageID identifies the reports, or the acknowledgements, of one crash from
+// one node to another.
+type crashMessageID struct {
+	from, to    cassiatally.NodeID
+	report, ack cassiatally.CrashNumber
 }
 
 type fleetNode struct {
 	*runner.Runner
-	m     *fleetModel
-	ref   cassiatally.NodeRef
-	q     *quarantiner.Quarantiner
-	reg   *registrar.Registrar
-	up    bool
-	life  int
-	runs  map[cassiatally.CallID]cassiatally.Call
-	crash int
+	m           *fleetModel
+	ref         cassiatally.NodeRef
+	quarantiner *quarantiner.Quarantiner
+	registrar   *registrar.Registrar
+	up          bool
+	incarnation int
+	runs        map[cassiatally.CallID]cassiatally.Call
+	crashes     int
 }
 
 func newFleetModel(p fleetPlan) *fleetModel {
 	m := &fleetModel{
 		plan: p, rand: rand.New(rand.NewPCG(p.seed, 1)), now: start, end: start.Add(fleetDuration),
-		dropped: map[newsID]int{},
-		byName:  map[cassiatally.NodeID]*fleetNode{}, waits: map[cassiatally.CallID]func(cassiatally.Answer){},
+		sent:   map[crashMessageID]int{},
+		byName: map[cassiatally.NodeID]*fleetNode{}, replies: map[cassiatally.CallID]func(cassiatally.Answer){},
 	}
 	for i := range fleetNodes {
 		n := m.newNode(i)
@@ -118,36 +122,36 @@
 		m.byName[n.ref.Node] = n
 	}
 	for _, n := range m.nodes {
-		m.introduce(n)
+		m.addMembers(n)
 	}
 	for _, n := range m.nodes {
-		n.SetPeers(m.now, map[cassiatally.Service][]cassiatally.NodeID{fleetService: m.others(n)})
-		n.boot()
-		n.tickFrom(m.rand.Int64N(int64(fleetTick)))
+		n.SetPeers(m.now, map[cassiatally.Service][]cassiatally.NodeID{fleetService: m.peersOf(n)})
+		n.startBackend()
+		n.tickFrom(m.rand.Int64N(int64(fleetTickInterval)))
 	}
 	return m
 }
 
 func (m *fleetModel) newNode(i int) *fleetNode {
 	ref := cassiatally.NodeRef{Node: cassiatally.NodeID(fmt.Sprintf("n%d", i)), Incarnation: 1}
-	n := &fleetNode{m: m, ref: ref, q: quarantiner.New(ref), runs: map[cassiatally.CallID]cassiatally.Call{}}
-	n.reg = registrar.New(registrar.Config{
+	n := &fleetNode{m: m, ref: ref, quarantiner: quarantiner.New(ref), runs: map[cassiatally.CallID]cassiatally.Call{}}
+	n.registrar = registrar.New(registrar.Config{
 		Self: ref, DataCentre: "north", Address: cassiatally.Address(ref.Node),
 		Interval: time.Second, SuspectAfter: 3 * time.Second, RemoveAfter: 10 * time.Second,
 	}, m.rand)
-	n.Runner = runner.New(ref, &fifo.Queue{}, &fixedlimiter.Limiter{Fixed: 20}, n.q, m.nextID)
+	n.Runner = runner.New(ref, &fifo.Queue{}, &fixedlimiter.Limiter{Fixed: 20}, n.quarantiner, m.nextID)
 	return n
 }
 
-func (m *fleetModel) introduce(n *fleetNode) {
+func (m *fleetModel) addMembers(n *fleetNode) {
 	for _, o := range m.nodes {
-		n.reg.HandleGossip(m.now, o.ref, cassiatally.Gossip{From: o.ref, Reply: true, Members: []cassiatally.Member{{
+		n.registrar.HandleGossip(m.now, o.ref, cassiatally.Gossip{From: o.ref, Reply: true, Members: []cassiatally.Member{{
 			Ref: o.ref, DataCentre: "north", Address: cassiatally.Address(o.ref.Node), Heartbeat: 2, Revision: 1,
 		}}})
 	}
 }
 
-func (m *fleetModel) others(n *fleetNode) []cassiatally.NodeID {
+func (m *fleetModel) peersOf(n *fleetNode) []cassiatally.NodeID {
 	var out []cassiatally.NodeID
 	for _, o := range m.nodes {
 		if o != n {
@@ -171,8 +175,8 @@
 	m.events = slices.Insert(m.events, i, e)
 }
 
-func (m *fleetModel) delayed(do func()) {
-	m.after(time.Duration(1+m.rand.Int64N(int64(m.plan.delay))), do)
+func (m *fleetModel) afterMessageDelay(do func()) {
+	m.after(time.Duration(1+m.rand.Int64N(int64(m.plan.maxDelay))), do)
 }
 
 func (m *fleetModel) run() {
@@ -184,40 +188,41 @@
 	}
 }
 
-func (m *fleetModel) note(format string, args ...any) {
+func (m *fleetModel) tracef(format string, args ...any) {
 	m.trace = append(m.trace, fmt.Sprintf("%v ", m.now.Sub(start))+fmt.Sprintf(format, args...))
 }
 
-// boot starts the backend server, which announces itself.
-func (n *fleetNode) boot() {
+// startBackend starts the backend server and its regular announcements.
+func (n *fleetNode) startBackend() {
 	n.up = true
-	n.announceFrom(n.life, 0)
+	n.announceFrom(n.incarnation, 0)
 }
 
-func (n *fleetNode) announceFrom(life int, in time.Duration) {
+func (n *fleetNode) announceFrom(incarnation int, in time.Duration) {
 	n.m.after(in, func() {
-		if !n.up || n.life != life {
+		if !n.up || n.incarnation != incarnation {
 			return
 		}
 		n.carryOut(n.Announce(n.m.now, cassiatally.Endpoint{Service: fleetService, Slots: 20, State: cassiatally.EndpointReady}, 3*time.Second))
-		n.report()
-		n.announceFrom(life, time.Second)
+		n.updateMember()
+		n.announceFrom(incarnation, time.Second)
 	})
 }
 
 func (n *fleetNode) tickFrom(in int64) {
 	n.m.after(time.Duration(in), func() {
 		n.carryOut(n.Tick(n.m.now))
-		n.report()
-		n.carryOut(n.reg.Tick(n.m.now))
-		n.tickFrom(int64(fleetTick))
+		n.updateMember()
+		n.carryOut(n.registrar.Tick(n.m.now))
+		n.tickFrom(int64(fleetTickInterval))
 	})
 }
 
-// report does what the executor and the memberkeeper do with each other.
-func (n *fleetNode) report() {
-	n.carryOut(n.reg.SetEndpoint(n.m.now, n.Endpoint()))
-	n.carryOut(n.reg.SetCrashes(n.q.Reports(n.m.now)))
+// updateMember passes the endpoint and crash reports from the runner to the
+// registrar, as the executor and the memberkeeper do.
+func (n *fleetNode) updateMember() {
+	n.carryOut(n.registrar.SetEndpoint(n.m.now, n.Endpoint()))
+	n.carryOut(n.registrar.SetCrashes(n.quarantiner.Reports(n.m.now)))
 }
 
 func (n *fleetNode) carryOut(actions []cassiatally.Action) {
@@ -232,35 +237,36 @@
 	}
 }
 
-// loses reports whether a message about a crash is lost on its way.
-func (m *fleetModel) loses(from *fleetNode, s cassiatally.Send) bool {
+// isLost reports whether a message is a crash report or acknowledgement that the
+// plan drops.
+func (m *fleetModel) isLost(from *fleetNode, s cassiatally.Send) bool {
 	g, ok := s.Message.(cassiatally.Gossip)
 	if !ok || g.CrashNews == 0 && g.CrashAck == 0 {
 		return false
 	}
-	id := newsID{from.ref.Node, s.To, g.CrashNews, g.CrashAck}
-	m.dropped[id]++
-	return m.dropped[id] <= m.plan.lost
+	id := crashMessageID{from.ref.Node, s.To, g.CrashNews, g.CrashAck}
+	m.sent[id]++
+	return m.sent[id] <= m.plan.lost
 }
 
 func (m *fleetModel) send(from *fleetNode, s cassiatally.Send) {
-	if m.loses(from, s) {
+	if m.isLost(from, s) {
 		return
 	}
-	m.delayed(func() {
+	m.afterMessageDelay(func() {
 		switch msg := s.Message.(type) {
 		case cassiatally.Answer:
-			if reply, ok := m.waits[msg.ID]; ok {
-				delete(m.waits, msg.ID)
+			if reply, ok := m.replies[msg.ID]; ok {
+				delete(m.replies, msg.ID)
 				reply(msg)
 			}
 		case cassiatally.Gossip:
-			m.byName[s.To].gossip(from.ref, msg)
+			m.byName[s.To].handleGossip(from.ref, msg)
 		}
 	})
 }
 
-func (n *fleetNode) gossip(from cassiatally.NodeRef, g cassiatally.Gossip) {
+func (n *fleetNode) handleGossip(from cassiatally.NodeRef, g cassiatally.Gossip) {
 	switch {
 	case g.CrashNews != 0:
 		n.carryOut(n.HandleCrashReports(n.m.now, from.Node, g))
@@ -269,41 +275,42 @@
 		n.carryOut(n.HandleCrashAck(n.m.now, from.Node, g.CrashAck))
 		return
 	}
-	n.carryOut(n.reg.HandleGossip(n.m.now, from, g))
-	n.q.Merge(n.m.now, g.Crashes)
+	n.carryOut(n.registrar.HandleGossip(n.m.now, from, g))
+	n.quarantiner.Merge(n.m.now, g.Crashes)
 }
 
 func (n *fleetNode) startRun(c cassiatally.Call) {
 	n.runs[c.ID] = c
-	life := n.life
+	incarnation := n.incarnation
 	if string(c.Body) == poisonBody {
-		n.m.after(time.Millisecond, func() { n.die(life, c) })
+		n.m.after(time.Millisecond, func() { n.crashBackend(incarnation, c) })
 		return
 	}
-	n.m.after(fleetRun/2+time.Duration(n.m.rand.Int64N(int64(fleetRun))), func() {
-		if n.life == life && n.up {
+	n.m.after(fleetRunTime/2+time.Duration(n.m.rand.Int64N(int64(fleetRunTime))), func() {
+		if n.incarnation == incarnation && n.up {
 			n.finish(c.ID, cassiatally.RunResult{Kind: cassiatally.ResultAnswered, Status: 200})
 		}
 	})
 }
 
-// die ends the backend server; its broken connections are noticed one by one.
-func (n *fleetNode) die(life int, cause cassiatally.Call) {
-	if n.life != life || !n.up {
+// crashBackend ends the backend server; its broken connections are detected one
+// after the other.
+func (n *fleetNode) crashBackend(incarnation int, cause cassiatally.Call) {
+	if n.incarnation != incarnation || !n.up {
 		return
 	}
 	n.up = false
-	n.life++
-	n.crash++
+	n.incarnation++
+	n.crashes++
 	n.m.crashes++
-	n.m.note("crash at %s with %d in flight, call %v", n.ref.Node, len(n.runs), cause.ID.Seq)
+	n.m.tracef("crash at %s with %d in flight, call %v", n.ref.Node, len(n.runs), cause.ID.Seq)
 	for _, id := range n.inFlight() {
 		n.m.after(time.Duration(n.m.rand.Int64N(int64(2*time.Millisecond))), func() {
 			n.finish(id, cassiatally.RunResult{Kind: cassiatally.ResultBroken})
-			n.report()
+			n.updateMember()
 		})
 	}
-	n.m.after(fleetRestart+time.Duration(n.m.rand.Int64N(int64(fleetRestart))), n.boot)
+	n.m.after(minRestartTime+time.Duration(n.m.rand.Int64N(int64(minRestartTime))), n.startBackend)
 }
 
 func (n *fleetNode) inFlight() []cassiatally.CallID {
@@ -320,8 +327,9 @@
 	n.carryOut(n.Finished(n.m.now, id, res))
 }
 
-// call sends a request as a router does: refusals of a node without a backend
-// server go to another one, and a lost run is sent again up to the budget.
+// call sends a request as a router does: a request that a node without a backend
+// server refuses goes to another node, and one whose run was lost is retried up to
+// the retry budget.
 func (m *fleetModel) call(body string, attempt int, avoid []*fleetNode, done func(cassiatally.Answer)) {
 	n := m.nodes[m.rand.IntN(len(m.nodes))]
 	for slices.Contains(avoid, n) && len(avoid) < len(m.nodes) {
@@ -331,7 +339,7 @@
 		ID: m.nextID(), Service: fleetService, Work: "check_stock", Idempotent: true,
 		Remaining: 9 * time.Second, Body: []byte(body),
 	}
-	m.waits[c.ID] = func(a cassiatally.Answer) {
+	m.replies[c.ID] = func(a cassiatally.Answer) {
 		switch {
 		case a.Kind == cassiatally.KindDraining:
 			m.after(time.Millisecond, func() { m.call(body, attempt, append(slices.Clone(avoid), n), done) })
@@ -341,7 +349,7 @@
 			done(a)
 		}
 	}
-	m.delayed(func() { n.carryOut(n.HandleCall(m.now, "entry", c)) })
+	m.afterMessageDelay(func() { n.carryOut(n.HandleCall(m.now, "entry", c)) })
 }
 
 func (m *fleetModel) sendPoison(copies int) {
@@ -349,38 +357,38 @@
 		return
 	}
 	m.call(poisonBody, 1, nil, func(a cassiatally.Answer) {
-		m.note("copy answered %v %v", a.Outcome, a.Kind)
+		m.tracef("copy answered %v %v", a.Outcome, a.Kind)
 		m.after(m.plan.pause, func() { m.sendPoison(copies - 1) })
 	})
 }
 
-func (m *fleetModel) keepInnocent(body func() string) {
+func (m *fleetModel) sendUnrelated(body func() string) {
 	m.call(body(), 1, nil, func(a cassiatally.Answer) {
 		switch a.Kind {
 		case cassiatally.KindNone:
 			m.completed++
 		case cassiatally.KindQuarantined:
-			m.blamed++
+			m.quarantined++
 		default:
 			m.failed++
 		}
-		m.after(time.Millisecond, func() { m.keepInnocent(body) })
+		m.after(time.Millisecond, func() { m.sendUnrelated(body) })
 	})
 }
 
 func runFleet(p fleetPlan) *fleetModel {
 	m := newFleetModel(p)
-	for i := range p.innocents {
+	for i := range p.unrelated {
 		unique := 0
 		m.after(2*time.Second, func() {
-			m.keepInnocent(func() string {
+			m.sendUnrelated(func() string {
 				unique++
-				return fmt.Sprintf("innocent %d %d", i, unique)
+				return fmt.Sprintf("unrelated %d %d", i, unique)
 			})
 		})
 	}
 	for range p.popular {
-		m.after(2*time.Second, func() { m.keepInnocent(func() string { return "popular" }) })
+		m.after(2*time.Second, func() { m.sendUnrelated(func() string { return "popular" }) })
 	}
 	for range p.senders {
 		m.after(3*time.Second, func() { m.sendPoison(p.copies) })
@@ -389,28 +397,29 @@
 	return m
 }
 
-// Guards against a request that crashes more than three backend servers, though
-// its caller waits for the answer to each copy, and against innocent requests that
-// are refused because they were in flight beside it.
+// Guards against a request that crashes more than three backend servers, although
+// its caller waits for the answer to each copy, and against unrelated requests that
+// are quarantined because they were in flight in its crashes.
 func TestPoisonIsStoppedAfterThreeCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPlan(t)
 		p.senders = 1
 		m := runFleet(p)
-		if m.crashes > crashesUpTo || m.crashes == 0 || m.blamed > 0 {
-			t.Fatalf("%d crashes, %d innocent requests quarantined, %d failed, %d completed\n%v",
-				m.crashes, m.blamed, m.failed, m.completed, m.trace)
+		if m.crashes > maxCrashes || m.crashes == 0 || m.quarantined > 0 {
+			t.Fatalf("%d crashes, %d unrelated requests quarantined, %d failed, %d completed\n%v",
+				m.crashes, m.quarantined, m.failed, m.completed, m.trace)
 		}
 	})
 }
 
-// Guards against further crashes when copies are sent side by side. Each may crash
-// one more backend server, since none knows of the others when it starts.
-func TestPoisonSentSideBySideIsStopped(t *testing.T) {
+// Guards against further crashes when copies are sent concurrently. Each sender may
+// cause one more crash, since its copy can start before the other crashes are
+// reported.
+func TestPoisonSentConcurrentlyIsStopped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawPlan(t)
 		p.senders = rapid.IntRange(2, 4).Draw(t, "senders")
-		if m := runFleet(p); m.crashes > crashesUpTo+p.senders-1 || m.crashes == 0 {
+		if m := runFleet(p); m.crashes > maxCrashes+p.senders-1 || m.crashes == 0 {
 			t.Fatalf("%d crashes\n%v", m.crashes, m.trace)
 		}
 	})
--- a/cassiatally/runner/main_test.go
+++ b/cassiatally/runner/main_test.go
@@ -7,8 +7,8 @@
 )
 
 // TestMain fixes the seed and the number of checks of the fleet model, so that
-// every run of the tests gives the same verdict. RUNNER_SEED and RUNNER_CHECKS are
-// for trials.
+// every run of the tests gives the same result. RUNNER_SEED and RUNNER_CHECKS
+// override them for trials.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	set := func(name, variable, value string) {
--- a/cassiatally/runner/recoverytest/fleet_test.go
+++ b/cassiatally/runner/recoverytest/fleet_test.go
@@ -19,38 +19,38 @@
 )
 
 const (
-	linkDelay   = time.Millisecond
-	callerDelay = time.Millisecond
-	tickEvery   = 20 * time.Millisecond
-	gossipEvery = time.Second
-	announceTTL = 3 * time.Second
-	endpoints   = 4
-	retries     = 2
-	resends     = 2
-	narrow      = cassiatally.Service("avail-svc")
+	linkDelay           = time.Millisecond
+	callerDelay         = time.Millisecond
+	tickEvery           = 20 * time.Millisecond
+	gossipEvery         = time.Second
+	announceTTL         = 3 * time.Second
+	endpointsPerService = 4
+	retries             = 2
+	resends             = 2
+	bottleneck          = cassiatally.Service("avail-svc")
 )
 
-// class is a kind of request and its part of the load. Its callers send it again
-// after the timeout, as those of the bench do.
+// class is a kind of request and its share of the load. Its callers send it again
+// after the timeout, as those of the benchmark do.
 type class struct {
-	name    string
-	service cassiatally.Service
-	work    cassiatally.WorkKind
-	rank    cassiatally.Rank
-	timeout time.Duration
-	part    float64
-	final   bool // not idempotent
+	name          string
+	service       cassiatally.Service
+	work          cassiatally.WorkKind
+	rank          cassiatally.Rank
+	timeout       time.Duration
+	share         float64
+	nonIdempotent bool
 }
 
-// served describes a service and the service that its work calls.
-type served struct {
-	name  cassiatally.Service
-	slots cassiatally.Concurrency
-	time  time.Duration
-	calls cassiatally.Service
+// serviceSpec describes a service and the service that its runs call.
+type serviceSpec struct {
+	name        cassiatally.Service
+	slots       cassiatally.Concurrency
+	serviceTime time.Duration
+	calls       cassiatally.Service
 }
 
-// fleet joins routers, runners and the decisions below them in virtual time.
+// fleet connects routers, runners and the packages that they use, in virtual time.
 type fleet struct {
 	rand     *rand.Rand
 	now      cassiatally.Instant
@@ -58,7 +58,7 @@
 	seq      uint64
 	nodes    []*host
 	byName   map[cassiatally.NodeID]*host
-	slow     func(at cassiatally.Instant) float64
+	slowdown func(at cassiatally.Instant) float64
 	requests []*request
 }
 
@@ -67,7 +67,7 @@
 	fleet    *fleet
 	ref      cassiatally.NodeRef
 	dc       cassiatally.DataCentre
-	served   served
+	spec     serviceSpec
 	runner   *runner.Runner
 	router   *router.Router
 	balancer *balancer.Balancer
@@ -77,28 +77,29 @@
 	replies  map[cassiatally.CallID]func(cassiatally.Answer)
 	children map[cassiatally.CallID]func(cassiatally.Answer)
 	runs     map[cassiatally.CallID]*execution
-	// completed and cut count the runs of the backend server.
-	completed, cut int
+	// completed counts the ended runs of the backend server, and cutOff those of the
+	// bottleneck service that were aborted or timed out.
+	completed, cutOff int
 }
 
 // execution is a run at a backend server.
 type execution struct {
-	call  cassiatally.Call
-	began cassiatally.Instant
-	ended bool
+	call    cassiatally.Call
+	started cassiatally.Instant
+	ended   bool
 }
 
-// request is what a caller wants done.
+// request is a request of a caller with all its copies.
 type request struct {
-	class  class
-	due    cassiatally.Instant
-	copies int
-	inTime bool
-	// work is the time of backend servers that the request has taken.
+	class   class
+	arrived cassiatally.Instant
+	copies  int
+	inTime  bool
+	// work is the backend server time that the request has used.
 	work  time.Duration
 	kinds []cassiatally.ErrorKind
 	runs  int
-	// lost is the part of work that was cut off, by the start of the run.
+	// lost is the part of work in runs that were cut off, by the start of the run.
 	lost map[time.Duration]time.Duration
 }
 
@@ -127,14 +128,14 @@
 	heap.Push(&f.events, event{at: f.now.Add(d), seq: f.seq, do: do})
 }
 
-func newFleet(seed uint64, services []served, shares [cassiatally.MaxRanks]cassiatally.Share) *fleet {
+func newFleet(seed uint64, services []serviceSpec, shares [cassiatally.MaxRanks]cassiatally.Share) *fleet {
 	f := &fleet{
 		rand: rand.New(rand.NewPCG(seed, seed)), now: cassiatally.Instant(time.Hour),
 		byName: make(map[cassiatally.NodeID]*host),
 	}
 	for _, s := range services {
-		for i := range endpoints {
-			f.add(s, i, shares)
+		for i := range endpointsPerService {
+			f.addHost(s, i, shares)
 		}
 	}
 	f.gossip()
@@ -146,9 +147,9 @@
 	return f
 }
 
-func (f *fleet) add(s served, i int, shares [cassiatally.MaxRanks]cassiatally.Share) {
+func (f *fleet) addHost(s serviceSpec, i int, shares [cassiatally.MaxRanks]cassiatally.Share) {
 	h := &host{
-		fleet: f, served: s, dc: cassiatally.DataCentre(fmt.Sprint("dc-", i)),
+		fleet: f, spec: s, dc: cassiatally.DataCentre(fmt.Sprint("dc-", i)),
 		ref:      cassiatally.NodeRef{Node: cassiatally.NodeID(fmt.Sprintf("%s-%d", s.name, i)), Incarnation: cassiatally.Incarnation(len(f.nodes) + 1)},
 		replies:  make(map[cassiatally.CallID]func(cassiatally.Answer)),
 		children: make(map[cassiatally.CallID]func(cassiatally.Answer)),
@@ -180,7 +181,7 @@
 }
 
 func (h *host) announced() cassiatally.Endpoint {
-	return cassiatally.Endpoint{Service: h.served.name, Slots: h.served.slots, Connections: 100 * h.served.slots, State: cassiatally.EndpointReady}
+	return cassiatally.Endpoint{Service: h.spec.name, Slots: h.spec.slots, Connections: 100 * h.spec.slots, State: cassiatally.EndpointReady}
 }
 
 func (h *host) tick() {
@@ -188,7 +189,7 @@
 	h.carryOut(h.router.Tick(h.fleet.now))
 }
 
-// gossip tells all nodes the loads of all endpoints, half a period old.
+// gossip passes the loads of all endpoints to all nodes after half a period.
 func (f *fleet) gossip() {
 	at := f.now
 	var all []cassiatally.Candidate
@@ -224,10 +225,10 @@
 		case cassiatally.Deliver:
 			h.reply(a.Call, a.Answer)
 		case cassiatally.StartRun:
-			h.start(a.Call)
+			h.startRun(a.Call)
 		case cassiatally.AbortRun:
 			if x := h.runs[a.Call]; x != nil {
-				f.after(0, func() { h.end(x, cassiatally.RunResult{Kind: cassiatally.ResultAborted}) })
+				f.after(0, func() { h.endRun(x, cassiatally.RunResult{Kind: cassiatally.ResultAborted}) })
 			}
 		case cassiatally.Submit:
 			h.replies[a.Request.ID] = func(answer cassiatally.Answer) {
@@ -260,22 +261,22 @@
 	}
 }
 
-// start runs a call for its service time, and then its onward call.
-func (h *host) start(c cassiatally.Call) {
+// startRun runs a call for its service time, and then makes its onward call.
+func (h *host) startRun(c cassiatally.Call) {
 	f := h.fleet
-	x := &execution{call: c, began: f.now}
+	x := &execution{call: c, started: f.now}
 	h.runs[c.ID] = x
-	took := h.served.time
-	if h.served.name == narrow {
-		took = time.Duration(float64(took) * f.slow(f.now))
+	took := h.spec.serviceTime
+	if h.spec.name == bottleneck {
+		took = time.Duration(float64(took) * f.slowdown(f.now))
 	}
-	f.after(c.Remaining, func() { h.end(x, cassiatally.RunResult{Kind: cassiatally.ResultTimedOut}) })
+	f.after(c.Remaining, func() { h.endRun(x, cassiatally.RunResult{Kind: cassiatally.ResultTimedOut}) })
 	f.after(took, func() {
 		if x.ended {
 			return
 		}
-		if h.served.calls == "" {
-			h.end(x, cassiatally.RunResult{Kind: cassiatally.ResultAnswered, Status: 200})
+		if h.spec.calls == "" {
+			h.endRun(x, cassiatally.RunResult{Kind: cassiatally.ResultAnswered, Status: 200})
 			return
 		}
 		waiter := h.nextID()
@@ -284,53 +285,53 @@
 			if a.Kind != cassiatally.KindNone {
 				status = 502
 			}
-			f.after(0, func() { h.end(x, cassiatally.RunResult{Kind: cassiatally.ResultAnswered, Status: status}) })
+			f.after(0, func() { h.endRun(x, cassiatally.RunResult{Kind: cassiatally.ResultAnswered, Status: status}) })
 		}
 		h.carryOut(h.runner.BeginChild(f.now, runner.ChildCall{
-			Waiter: waiter, Parent: c.ID, Service: h.served.calls, Work: "check", Name: "1", Idempotent: true,
+			Waiter: waiter, Parent: c.ID, Service: h.spec.calls, Work: "check", Name: "1", Idempotent: true,
 		}))
 	})
 }
 
-func (h *host) end(x *execution, res cassiatally.RunResult) {
+func (h *host) endRun(x *execution, res cassiatally.RunResult) {
 	if x.ended {
 		return
 	}
 	f := h.fleet
 	x.ended = true
 	delete(h.runs, x.call.ID)
-	took := f.now.Sub(x.began)
-	if h.served.name != narrow {
-		took = min(took, h.served.time)
+	took := f.now.Sub(x.started)
+	if h.spec.name != bottleneck {
+		took = min(took, h.spec.serviceTime)
 	}
 	h.completed++
 	r := f.requests[binary.BigEndian.Uint64(x.call.Root[:])]
 	r.work += took
-	if h.served.name == narrow {
+	if h.spec.name == bottleneck {
 		r.runs++
 		if res.Kind != cassiatally.ResultAnswered {
-			h.cut++
-			r.lost[x.began.Sub(0)] += took
+			h.cutOff++
+			r.lost[x.started.Sub(0)] += took
 		}
 	}
 	h.carryOut(h.runner.Finished(f.now, x.call.ID, res))
 }
 
-// arrive has a class's requests come at a rate until an instant.
-func (f *fleet) arrive(c class, rate float64, until cassiatally.Instant) {
+// generateLoad sends requests of a class at a mean rate per second until an instant.
+func (f *fleet) generateLoad(c class, rate float64, until cassiatally.Instant) {
 	f.after(time.Duration(f.rand.ExpFloat64()/rate*float64(time.Second)), func() {
 		if f.now.Reached(until) {
 			return
 		}
-		r := &request{class: c, due: f.now, lost: make(map[time.Duration]time.Duration)}
+		r := &request{class: c, arrived: f.now, lost: make(map[time.Duration]time.Duration)}
 		f.requests = append(f.requests, r)
 		f.send(r, len(f.requests)-1)
-		f.arrive(c, rate, until)
+		f.generateLoad(c, rate, until)
 	})
 }
 
-// send sends a copy of a request. A caller that gets no answer until its timeout
-// leaves and sends the next copy.
+// send sends a copy of a request. A caller that gets no answer before its timeout
+// cancels it and sends the next copy.
 func (f *fleet) send(r *request, index int) {
 	h := f.nodes[(index+r.copies)%len(f.nodes)]
 	r.copies++
@@ -347,12 +348,12 @@
 				}
 				answered = true
 				r.kinds = append(r.kinds, a.Kind)
-				r.inTime = a.Kind == cassiatally.KindNone && f.now.Sub(r.due) <= r.class.timeout
+				r.inTime = a.Kind == cassiatally.KindNone && f.now.Sub(r.arrived) <= r.class.timeout
 			})
 		}
 		h.carryOut(h.router.Submit(f.now, cassiatally.Request{
 			ID: id, Root: root, Service: r.class.service, Work: r.class.work, Tenant: "north",
-			Policy: cassiatally.Policy{Rank: r.class.rank, Idempotent: !r.class.final}, Order: root.Order(),
+			Policy: cassiatally.Policy{Rank: r.class.rank, Idempotent: !r.class.nonIdempotent}, Order: root.Order(),
 			Deadline: f.now.Add(r.class.timeout - 2*callerDelay), Retries: retries, Attempt: 1,
 		}))
 	})
--- a/cassiatally/runner/result.go
+++ b/cassiatally/runner/result.go
@@ -10,54 +10,55 @@
 	firstServerError    = 500
 	internalServerError = 500
 	gatewayTimeout      = 504
-	// deadlineMargin is how early before its deadline a backend server may give up a
-	// run: the time left is told in whole milliseconds, and the answer travels.
+	// deadlineMargin is how long before its deadline a backend server may give up a
+	// run: the remaining time is sent in whole milliseconds, and the answer takes
+	// time to arrive.
 	deadlineMargin = 20 * time.Millisecond
 )
 
-// Finished takes the result of a run.
+// Finished records the result of a run and answers its call.
 func (r *Runner) Finished(now cassiatally.Instant, id cassiatally.CallID, res cassiatally.RunResult) []cassiatally.Action {
 	rec, ok := r.records[id]
 	if !ok || rec.phase != phaseRunning {
-		r.late++
+		r.lateResults++
 		return nil
 	}
-	if rec.brokenOff && res.Kind == cassiatally.ResultAborted {
+	if rec.abortedAsStalled && res.Kind == cassiatally.ResultAborted {
 		res.Kind = cassiatally.ResultTimedOut
 	}
 	actions := r.abandonChildren(rec)
 	r.running--
 	if !cutOff(res) {
-		r.progress(now)
+		r.recordProgress(now)
 	}
-	r.observe(now, rec, res)
-	a := r.answerTo(rec, res)
+	r.recordResult(now, rec, res)
+	a := r.answerFor(rec, res)
 	if a.Outcome == cassiatally.OutcomeNotRun {
 		r.countShed(rec.call.Rank, a.Kind)
 	}
 	if res.Kind == cassiatally.ResultBroken {
-		actions = r.concludeBroken(actions, now, rec, a)
+		actions = r.finishBrokenRun(actions, now, rec, a)
 	} else {
-		actions = r.conclude(actions, now, rec, a)
+		actions = r.finishCall(actions, now, rec, a)
 	}
 	if r.endpoint.State == cassiatally.EndpointNone {
-		// They would wait until the backend server announces itself again or until its
-		// announcement lapses, while others can run them.
+		// Queued calls would wait until the backend server announces itself again or
+		// its announcement expires, while other backend servers can run them.
 		actions = r.refuseQueued(now, actions)
 	}
-	return r.pump(now, r.releaseHeld(actions, now))
+	return r.startQueued(now, r.queueHeldSuspects(actions, now))
 }
 
-func (r *Runner) observe(now cassiatally.Instant, rec *record, res cassiatally.RunResult) {
+func (r *Runner) recordResult(now cassiatally.Instant, rec *record, res cassiatally.RunResult) {
 	self := rec.children.selfTime(rec.started, now)
 	failed := res.Kind != cassiatally.ResultAnswered && res.Kind != cassiatally.ResultTimedOut
-	if r.tells(res, self) {
+	if r.isLoadSample(res, self) {
 		r.limiter.Observe(now, cassiatally.RunSample{Self: self, InFlight: rec.concurrency, Failed: failed})
 	}
-	if cutOff(res) || rec.gaveUp(now, res) {
-		// A run that was cut off while it waited for an onward call does not tell that
-		// this backend server is slow. Counted in full, a few of them had all calls
-		// refused as too late, and then no run was left to show that it was fast.
+	if cutOff(res) || rec.gaveUpAtDeadline(now, res) {
+		// A run that was cut off while it waited for an onward call is no evidence that
+		// this backend server is slow. When such runs counted in full, a few of them had
+		// all calls refused as too late, and no run was left to show that it was fast.
 		r.admitter.Cut(now, rec.call.Rank, self)
 	} else {
 		r.admitter.Done(now, rec.call.Rank, now.Sub(rec.started))
@@ -73,21 +74,23 @@
 	}
 }
 
-// cutOff reports whether a run would have taken longer than it did.
+// cutOff reports whether a run was ended at its deadline or aborted, so that its
+// full run time is unknown.
 func cutOff(res cassiatally.RunResult) bool {
 	return res.Kind == cassiatally.ResultTimedOut || res.Kind == cassiatally.ResultAborted
 }
 
-// gaveUp reports whether the backend server answered that the deadline has passed.
-func (rec *record) gaveUp(now cassiatally.Instant, res cassiatally.RunResult) bool {
+// gaveUpAtDeadline reports whether the backend server answered that the deadline
+// has passed.
+func (rec *record) gaveUpAtDeadline(now cassiatally.Instant, res cassiatally.RunResult) bool {
 	return res.Kind == cassiatally.ResultAnswered && res.Status == gatewayTimeout && now.Reached(rec.deadline.Add(-deadlineMargin))
 }
 
-// tells reports whether the end of a run says anything about the backend server. A
-// run that was cut off early says nothing. One that was cut off late took long,
-// which the limiter tells from queueing by its own test; as a failure it would cut
-// the limit of a backend server that has only become slower.
-func (r *Runner) tells(res cassiatally.RunResult, self time.Duration) bool {
+// isLoadSample reports whether the limiter should observe a run. A run that was cut
+// off early is no evidence of load. One that was cut off late is observed as a long
+// run, which the limiter distinguishes from queueing by its own test; as a failure
+// it would reduce the limit of a backend server that has only become slower.
+func (r *Runner) isLoadSample(res cassiatally.RunResult, self time.Duration) bool {
 	switch res.Kind {
 	case cassiatally.ResultAborted:
 		return false
@@ -98,11 +101,11 @@
 	}
 }
 
-func (r *Runner) answerTo(rec *record, res cassiatally.RunResult) cassiatally.Answer {
+func (r *Runner) answerFor(rec *record, res cassiatally.RunResult) cassiatally.Answer {
 	id := rec.call.ID
 	switch res.Kind {
 	case cassiatally.ResultAnswered:
-		return ranAnswer(id, res, rec.children.failed)
+		return ranAnswer(id, res, rec.children.anyFailed)
 	case cassiatally.ResultRefused:
 		return notRun(id, cassiatally.KindBackendRefused, "the backend server refused the request")
 	case cassiatally.ResultUnreached:
@@ -110,11 +113,11 @@
 	case cassiatally.ResultReplaced:
 		return notRun(id, cassiatally.KindDraining, "another instance has the address of the backend server")
 	case cassiatally.ResultTimedOut:
-		return unknown(id, cassiatally.KindExpired, "the deadline passed while the request ran, or was out of reach")
+		return unknownOutcome(id, cassiatally.KindExpired, "the deadline passed while the request ran, or was out of reach")
 	case cassiatally.ResultAborted:
-		return unknown(id, cassiatally.KindCancelled, "the run was cancelled")
+		return unknownOutcome(id, cassiatally.KindCancelled, "the run was cancelled")
 	default:
-		return unknown(id, cassiatally.KindOutcomeUnknown, "the backend server broke off: "+res.Detail)
+		return unknownOutcome(id, cassiatally.KindOutcomeUnknown, "the backend server broke off: "+res.Detail)
 	}
 }
 
@@ -136,6 +139,6 @@
 	return a
 }
 
-func unknown(id cassiatally.CallID, kind cassiatally.ErrorKind, detail string) cassiatally.Answer {
+func unknownOutcome(id cassiatally.CallID, kind cassiatally.ErrorKind, detail string) cassiatally.Answer {
 	return cassiatally.Answer{ID: id, Outcome: cassiatally.OutcomeUnknown, Kind: kind, Detail: detail}
 }
--- a/cassiatally/runner/runner.go
+++ b/cassiatally/runner/runner.go
@@ -1,10 +1,10 @@
-// Package runner decides over the calls at one backend server: which are queued,
-// started, refused and answered, which onward calls belong to which run, and what
-// became of a call whose link was lost.
+// Package runner manages the calls at one backend server: it decides which are
+// queued, started, refused and answered, assigns onward calls to the runs that
+// make them, and answers queries for the outcome of a call whose link was lost.
 //
 // A Runner is a state machine without goroutines or timers. The executor duty
-// owns it, carries out the actions that it returns, and reports what the backend
-// server answered.
+// owns it, carries out the actions that it returns, and passes in the results of
+// the backend server.
 //
 // # Usage
 //
@@ -29,13 +29,14 @@
 )
 
 const (
-	// keepFinished is how long the answer of a finished call is kept for a sender
-	// whose link was lost. It exceeds the time in which a dead link is noticed.
-	keepFinished = 10 * time.Second
+	// finishedRetention is how long the answer of a finished call is kept for a
+	// sender whose link was lost. It exceeds the time after which a link counts as
+	// dead.
+	finishedRetention = 10 * time.Second
 	// maxFinished bounds the finished and voided calls that are kept.
 	maxFinished = 4096
-	// maxHeld bounds the suspects that wait for another one to end.
-	maxHeld = 64
+	// maxHeldSuspects bounds the suspects that wait for another one to end.
+	maxHeldSuspects = 64
 )
 
 const quarantinedDetail = "this request crashed backend servers; do not send it again"
@@ -60,22 +61,23 @@
 	ended       cassiatally.Instant
 	concurrency cassiatally.Concurrency
 	cancelled   bool
-	// lastCrash is the last crash before the run started.
+	// lastCrash is the number of the last crash before the run started.
 	lastCrash cassiatally.CrashNumber
-	// brokenOff is set when the run was stopped since its deadline seemed out of
-	// reach.
-	brokenOff bool
-	// held is set while the call waits outside the queue for another suspect.
+	// abortedAsStalled is set when the run was aborted because it was unlikely to
+	// meet its deadline.
+	abortedAsStalled bool
+	// held is set while the call waits outside the queue for another suspect to end.
 	held bool
-	// withheld is set while the answer waits until other nodes know of the crash.
-	withheld bool
+	// answerWithheld is set until the peers have acknowledged the crash that broke
+	// off the run.
+	answerWithheld bool
 	// cutOff is set when the run ended at its deadline or was cancelled.
 	cutOff   bool
 	answer   cassiatally.Answer
 	children children
 }
 
-// Runner owns the calls at one backend server.
+// Runner holds the state of the calls at one backend server.
 type Runner struct {
 	self       cassiatally.NodeRef
 	admitter   cassiatally.Admitter
@@ -83,32 +85,33 @@
 	quarantine cassiatally.Quarantine
 	nextID     func() cassiatally.CallID
 
-	endpoint  cassiatally.Endpoint
-	lapses    cassiatally.Instant
-	shares    [cassiatally.MaxRanks]cassiatally.Share
-	records   map[cassiatally.CallID]*record
-	childRuns map[cassiatally.CallID]childRef
-	// named has the runs in flight by their callers' ids.
-	named    map[cassiatally.RequestName]cassiatally.CallID
-	finished []cassiatally.CallID
-	held     []cassiatally.CallID
-	running  int
-	peers    map[cassiatally.Service][]cassiatally.NodeID
-	// untold has the crashes that not all peers have acknowledged.
-	untold    []*crash
-	crashedAt cassiatally.Instant
-	// progressed is when a run last ended or made an onward call, or when the first
-	// of those in flight began.
-	progressed cassiatally.Instant
-	leaving    bool
-	late       uint64
-	crashes    cassiatally.CrashNumber
-	sheds      map[shedKey]uint64
-	waited     [cassiatally.MaxRanks]QueueWait
+	endpoint            cassiatally.Endpoint
+	announcementExpires cassiatally.Instant
+	shares              [cassiatally.MaxRanks]cassiatally.Share
+	records             map[cassiatally.CallID]*record
+	childRefs           map[cassiatally.CallID]childRef
+	// runsByName maps the ids that callers gave to their requests to the runs in
+	// flight.
+	runsByName   map[cassiatally.RequestName]cassiatally.CallID
+	finished     []cassiatally.CallID
+	heldSuspects []cassiatally.CallID
+	running      int
+	peers        map[cassiatally.Service][]cassiatally.NodeID
+	// unacknowledgedCrashes holds the crashes that not all peers have acknowledged.
+	unacknowledgedCrashes []*crash
+	lastCrashAt           cassiatally.Instant
+	// lastProgress is when a run last ended or made an onward call, or when the
+	// first of those in flight started.
+	lastProgress cassiatally.Instant
+	leaving      bool
+	lateResults  uint64
+	crashes      cassiatally.CrashNumber
+	sheds        map[shedKey]uint64
+	queueWait    [cassiatally.MaxRanks]QueueWait
 }
 
-// New returns a runner without a backend server. nextID draws ids for onward
-// calls.
+// New returns a runner without a backend server. nextID generates the ids of
+// onward calls.
 func New(self cassiatally.NodeRef, a cassiatally.Admitter, l cassiatally.Limiter, q cassiatally.Quarantine, nextID func() cassiatally.CallID) *Runner {
 	return &Runner{
 		self:       self,
@@ -117,29 +120,29 @@
 		quarantine: q,
 		nextID:     nextID,
 		records:    make(map[cassiatally.CallID]*record),
-		childRuns:  make(map[cassiatally.CallID]childRef),
+		childRefs:  make(map[cassiatally.CallID]childRef),
 		sheds:      make(map[shedKey]uint64),
-		named:      make(map[cassiatally.RequestName]cassiatally.CallID),
+		runsByName: make(map[cassiatally.RequestName]cassiatally.CallID),
 	}
 }
 
-// SetShares sets the kept share of each rank, from the sheet in force.
+// SetShares sets the reserved share of each rank, from the sheet in force.
 func (r *Runner) SetShares(shares [cassiatally.MaxRanks]cassiatally.Share) { r.shares = shares }
 
-// Announce records what the backend server says about itself. It lapses after
-// ttl without renewal.
+// Announce records the announcement of the backend server, which expires after
+// ttl unless it is renewed.
 func (r *Runner) Announce(now cassiatally.Instant, e cassiatally.Endpoint, ttl time.Duration) []cassiatally.Action {
 	if e.Slots != r.endpoint.Slots || r.endpoint.State == cassiatally.EndpointNone {
 		r.limiter.Resize(now, e.Slots)
 	}
 	r.endpoint = e
-	r.lapses = now.Add(ttl)
+	r.announcementExpires = now.Add(ttl)
 	if e.State == cassiatally.EndpointDraining {
-		// Those who wait here would be started after the backend server was told that
-		// nothing more comes.
+		// Queued calls would be started after the backend server was promised no
+		// further work.
 		return r.refuseQueued(now, nil)
 	}
-	return r.pump(now, nil)
+	return r.startQueued(now, nil)
 }
 
 // Withdraw records that the backend server has left.
@@ -148,14 +151,14 @@
 	return r.refuseQueued(now, nil)
 }
 
-// Leave stops new work because the node itself is told to stop. Runs in flight
+// Leave refuses new work because the node itself is shutting down. Runs in flight
 // finish.
 func (r *Runner) Leave(now cassiatally.Instant) []cassiatally.Action {
 	r.leaving = true
 	return r.refuseQueued(now, nil)
 }
 
-// Endpoint returns what to announce to other nodes.
+// Endpoint returns the endpoint to announce to other nodes.
 func (r *Runner) Endpoint() cassiatally.Endpoint {
 	e := r.endpoint
 	if r.leaving && e.State == cassiatally.EndpointReady {
@@ -169,10 +172,10 @@
 // Idle reports whether no run is in flight.
 func (r *Runner) Idle() bool { return r.running == 0 }
 
-// Queued returns the calls in the queue.
+// Queued returns the number of calls in the queue.
 func (r *Runner) Queued() int { return r.admitter.Len() }
 
-// Running returns the runs in flight.
+// Running returns the number of runs in flight.
 func (r *Runner) Running() int { return r.running }
 
 func (r *Runner) load() cassiatally.EndpointLoad {
@@ -185,10 +188,11 @@
 	}
 }
 
-// HandleCall takes a call from a node.
+// HandleCall queues or refuses a call from a node. A call that has arrived before
+// is not run again.
 func (r *Runner) HandleCall(now cassiatally.Instant, from cassiatally.NodeID, c cassiatally.Call) []cassiatally.Action {
-	if known, ok := r.records[c.ID]; ok {
-		return r.repeatCall(known, from)
+	if rec, ok := r.records[c.ID]; ok {
+		return r.repeatCall(rec, from)
 	}
 	if kind, detail := r.refusal(now, c); kind != cassiatally.KindNone {
 		r.countShed(c.Rank, kind)
@@ -201,18 +205,18 @@
 		deadline:    now.Add(c.Remaining),
 		queued:      now,
 	}
-	rec.children.left = c.Retries
+	rec.children.retriesLeft = c.Retries
 	rec.held = r.mustWait(now, rec, phaseQueued)
 	r.records[c.ID] = rec
 	if rec.held {
-		r.held = append(r.held, c.ID)
+		r.heldSuspects = append(r.heldSuspects, c.ID)
 		return nil
 	}
-	return r.pump(now, r.offer(nil, now, rec))
+	return r.startQueued(now, r.enqueue(nil, now, rec))
 }
 
-// offer puts a call into the queue.
-func (r *Runner) offer(actions []cassiatally.Action, now cassiatally.Instant, rec *record) []cassiatally.Action {
+// enqueue offers a call to the admitter and refuses the calls that it drops.
+func (r *Runner) enqueue(actions []cassiatally.Action, now cassiatally.Instant, rec *record) []cassiatally.Action {
 	c := rec.call
 	dropped := r.admitter.Offer(now, cassiatally.Entry{
 		ID:       c.ID,
@@ -223,28 +227,28 @@
 		Deadline: rec.deadline,
 		Onward:   c.Depth > 0,
 	})
-	return r.drop(actions, dropped)
+	return r.refuseDropped(actions, dropped)
 }
 
-// releaseHeld queues the next suspect once no other one is queued or running. A
-// refusal instead would use up the retries of innocent requests that were in
-// flight in a crash.
-func (r *Runner) releaseHeld(actions []cassiatally.Action, now cassiatally.Instant) []cassiatally.Action {
-	for len(r.held) > 0 {
-		rec, ok := r.records[r.held[0]]
+// queueHeldSuspects queues the next suspect once no other one is queued or
+// running. A refusal instead would use up the retries of unrelated requests that
+// were in flight in a crash.
+func (r *Runner) queueHeldSuspects(actions []cassiatally.Action, now cassiatally.Instant) []cassiatally.Action {
+	for len(r.heldSuspects) > 0 {
+		rec, ok := r.records[r.heldSuspects[0]]
 		switch {
 		case !ok || rec.phase != phaseQueued:
 		case r.quarantine.Blocked(now, rec.fingerprint):
-			actions = r.conclude(actions, now, rec, notRun(rec.call.ID, cassiatally.KindQuarantined, quarantinedDetail))
+			actions = r.finishCall(actions, now, rec, notRun(rec.call.ID, cassiatally.KindQuarantined, quarantinedDetail))
 		case now.Reached(rec.deadline):
-			actions = r.conclude(actions, now, rec, notRun(rec.call.ID, cassiatally.KindExpired, "the deadline passed behind a request that may crash the backend server"))
-		case r.suspectBeside(now, rec, phaseQueued):
+			actions = r.finishCall(actions, now, rec, notRun(rec.call.ID, cassiatally.KindExpired, "the deadline passed behind a request that may crash the backend server"))
+		case r.hasOtherSuspect(now, rec, phaseQueued):
 			return actions
 		default:
 			rec.held = false
-			actions = r.offer(actions, now, rec)
+			actions = r.enqueue(actions, now, rec)
 		}
-		r.held = r.held[1:]
+		r.heldSuspects = r.heldSuspects[1:]
 	}
 	return actions
 }
@@ -262,7 +266,7 @@
 	switch {
 	case r.quarantine.Blocked(now, f):
 		return cassiatally.KindQuarantined, quarantinedDetail
-	case r.quarantine.Suspect(now, f) && len(r.held) >= maxHeld:
+	case r.quarantine.Suspect(now, f) && len(r.heldSuspects) >= maxHeldSuspects:
 		return cassiatally.KindOverloaded, "too many requests that may crash the backend server wait"
 	}
 	return cassiatally.KindNone, ""
@@ -271,7 +275,7 @@
 func (r *Runner) repeatCall(rec *record, from cassiatally.NodeID) []cassiatally.Action {
 	rec.from = from
 	switch {
-	case rec.withheld:
+	case rec.answerWithheld:
 		return nil
 	case rec.phase == phaseFinished, rec.phase == phaseVoid:
 		return []cassiatally.Action{cassiatally.Send{To: from, Message: rec.answer}}
@@ -280,7 +284,8 @@
 	}
 }
 
-// HandleCancel stops a call for which nobody waits any more.
+// HandleCancel removes a call from the queue, or aborts its run when it is
+// idempotent, since nobody waits for its answer any more.
 func (r *Runner) HandleCancel(now cassiatally.Instant, id cassiatally.CallID) []cassiatally.Action {
 	rec, ok := r.records[id]
 	if !ok {
@@ -289,10 +294,10 @@
 	switch rec.phase {
 	case phaseQueued:
 		r.admitter.Remove(id)
-		return r.pump(now, r.conclude(nil, now, rec, notRun(id, cassiatally.KindCancelled, "the caller left")))
+		return r.startQueued(now, r.finishCall(nil, now, rec, notRun(id, cassiatally.KindCancelled, "the caller left")))
 	case phaseRunning:
-		// A non-idempotent run is left to finish: to break it off would only turn a
-		// known outcome into an unknown one.
+		// A non-idempotent run is left to finish: to abort it would only turn a known
+		// outcome into an unknown one.
 		if rec.call.Idempotent && !rec.cancelled {
 			rec.cancelled = true
 			return []cassiatally.Action{cassiatally.AbortRun{Call: id}}
@@ -302,8 +307,8 @@
 	return nil
 }
 
-// HandleRunQuery tells a node what became of a call whose link was lost. A call
-// that was not seen is voided.
+// HandleRunQuery answers a query for the outcome of a call whose link was lost. A
+// call that has not arrived is voided, so that it does not run if it arrives later.
 func (r *Runner) HandleRunQuery(now cassiatally.Instant, from cassiatally.NodeID, q cassiatally.RunQuery) []cassiatally.Action {
 	if q.Target != r.self.Incarnation {
 		a := cassiatally.Answer{ID: q.ID, Request: q.Request, Outcome: cassiatally.OutcomeUnknown, Kind: cassiatally.KindOutcomeUnknown, Detail: "the node was restarted after the call was sent"}
@@ -316,26 +321,28 @@
 	rec.answer = notRun(q.ID, cassiatally.KindUnreachable, "the call never arrived")
 	rec.answer.Request = q.Request
 	r.records[q.ID] = rec
-	r.keep(q.ID)
+	r.retainFinished(q.ID)
 	return []cassiatally.Action{cassiatally.Send{To: from, Message: rec.answer}}
 }
 
-// Tick renews the limits, drops what has expired and starts what can run.
+// Tick withdraws an endpoint whose announcement has expired, evicts finished calls,
+// passes the concurrency limit to the admitter, resends crash reports, aborts
+// stalled runs and starts queued calls.
 func (r *Runner) Tick(now cassiatally.Instant) []cassiatally.Action {
 	var actions []cassiatally.Action
-	if r.endpoint.State != cassiatally.EndpointNone && now.Reached(r.lapses) {
+	if r.endpoint.State != cassiatally.EndpointNone && now.Reached(r.announcementExpires) {
 		actions = r.Withdraw(now)
 	}
-	r.forget(now)
+	r.evictFinished(now)
 	r.admitter.Tick(now, r.limiter.Limit())
-	actions = r.tellAgain(actions, now)
-	return r.pump(now, r.breakOff(r.releaseHeld(actions, now), now))
+	actions = r.resendCrashReports(actions, now)
+	return r.startQueued(now, r.abortStalledRuns(r.queueHeldSuspects(actions, now), now))
 }
 
-func (r *Runner) forget(now cassiatally.Instant) {
+func (r *Runner) evictFinished(now cassiatally.Instant) {
 	for len(r.finished) > 0 {
 		rec := r.records[r.finished[0]]
-		if rec != nil && now.Sub(rec.ended) < keepFinished && len(r.finished) <= maxFinished {
+		if rec != nil && now.Sub(rec.ended) < finishedRetention && len(r.finished) <= maxFinished {
 			return
 		}
 		delete(r.records, r.finished[0])
@@ -343,9 +350,9 @@
 	}
 }
 
-func (r *Runner) keep(id cassiatally.CallID) { r.finished = append(r.finished, id) }
+func (r *Runner) retainFinished(id cassiatally.CallID) { r.finished = append(r.finished, id) }
 
-func (r *Runner) pump(now cassiatally.Instant, actions []cassiatally.Action) []cassiatally.Action {
+func (r *Runner) startQueued(now cassiatally.Instant, actions []cassiatally.Action) []cassiatally.Action {
 	if r.endpoint.State == cassiatally.EndpointNone {
 		return actions
 	}
@@ -354,18 +361,18 @@
 		before := r.running
 		start, dropped := r.admitter.Next(now, free)
 		for _, id := range start {
-			actions = r.start(actions, now, id)
+			actions = r.startCall(actions, now, id)
 		}
-		actions = r.drop(actions, dropped)
+		actions = r.refuseDropped(actions, dropped)
 		if r.running-before == len(start) {
 			return actions
 		}
 	}
 }
 
-// start starts a queued call, unless a crash elsewhere that became known while it
-// was queued speaks against it.
-func (r *Runner) start(actions []cassiatally.Action, now cassiatally.Instant, id cassiatally.CallID) []cassiatally.Action {
+// startCall starts a queued call. A crash report that arrived while it was queued may
+// have quarantined it, or made it a suspect that has to wait.
+func (r *Runner) startCall(actions []cassiatally.Action, now cassiatally.Instant, id cassiatally.CallID) []cassiatally.Action {
 	rec, ok := r.records[id]
 	if !ok || rec.phase != phaseQueued {
 		return actions
@@ -373,21 +380,21 @@
 	switch {
 	case r.quarantine.Blocked(now, rec.fingerprint):
 		r.countShed(rec.call.Rank, cassiatally.KindQuarantined)
-		return r.conclude(actions, now, rec, notRun(id, cassiatally.KindQuarantined, quarantinedDetail))
+		return r.finishCall(actions, now, rec, notRun(id, cassiatally.KindQuarantined, quarantinedDetail))
 	case r.mustWait(now, rec, phaseRunning):
 		rec.held = true
-		r.held = append(r.held, id)
+		r.heldSuspects = append(r.heldSuspects, id)
 		return actions
 	}
 	rec.phase = phaseRunning
 	rec.started = now
 	if rec.call.Name != "" {
-		r.named[rec.call.Name] = id
+		r.runsByName[rec.call.Name] = id
 	}
 	rec.lastCrash = r.crashes
-	r.countStart(now, rec)
+	r.countQueueWait(now, rec)
 	if r.running == 0 {
-		r.progress(now)
+		r.recordProgress(now)
 	}
 	r.running++
 	rec.concurrency = cassiatally.Concurrency(r.running)
@@ -396,7 +403,7 @@
 	return append(actions, cassiatally.StartRun{Call: call, Waited: now.Sub(rec.queued)})
 }
 
-func (r *Runner) drop(actions []cassiatally.Action, dropped []cassiatally.Dropped) []cassiatally.Action {
+func (r *Runner) refuseDropped(actions []cassiatally.Action, dropped []cassiatally.Dropped) []cassiatally.Action {
 	for _, d := range dropped {
 		rec, ok := r.records[d.ID]
 		if !ok || rec.phase != phaseQueued {
@@ -413,7 +420,7 @@
 	a := notRun(c.ID, kind, detail)
 	a.Request = c.Tag()
 	a.Endpoint = r.load()
-	a.Loads = r.ownLevels()
+	a.Loads = r.ownLoads()
 	return append(actions, cassiatally.Send{To: to, Message: a})
 }
 
@@ -424,12 +431,12 @@
 		}
 		r.admitter.Remove(id)
 		r.countShed(rec.call.Rank, cassiatally.KindDraining)
-		actions = r.conclude(actions, now, rec, notRun(id, cassiatally.KindDraining, "the backend server takes no new work"))
+		actions = r.finishCall(actions, now, rec, notRun(id, cassiatally.KindDraining, "the backend server takes no new work"))
 	}
 	return actions
 }
 
-func (r *Runner) ownLevels() []cassiatally.ServiceLoad {
+func (r *Runner) ownLoads() []cassiatally.ServiceLoad {
 	if r.endpoint.Service == "" {
 		return nil
 	}
@@ -440,8 +447,8 @@
 	}}
 }
 
-// trimFullLevels leaves out the levels of 1 at the end, which are those of most services
-// most of the time. Ranks that are left out have level 1.
+// trimFullLevels omits the trailing levels of 1, which are the most common, to keep
+// answers short. Omitted ranks have level 1.
 func trimFullLevels(levels []cassiatally.Level) []cassiatally.Level {
 	for len(levels) > 0 && levels[len(levels)-1] >= 1 {
 		levels = levels[:len(levels)-1]
@@ -449,27 +456,28 @@
 	return levels
 }
 
-// conclude answers a call and keeps the answer for a sender whose link was lost.
-func (r *Runner) conclude(actions []cassiatally.Action, now cassiatally.Instant, rec *record, a cassiatally.Answer) []cassiatally.Action {
-	r.settle(now, rec, a)
+// finishCall answers a call and keeps the answer for a sender whose link was lost.
+func (r *Runner) finishCall(actions []cassiatally.Action, now cassiatally.Instant, rec *record, a cassiatally.Answer) []cassiatally.Action {
+	r.storeAnswer(now, rec, a)
 	return append(actions, cassiatally.Send{To: rec.from, Message: rec.answer})
 }
 
-func (r *Runner) settle(now cassiatally.Instant, rec *record, a cassiatally.Answer) {
+// storeAnswer marks the call as finished and stores its answer without sending it.
+func (r *Runner) storeAnswer(now cassiatally.Instant, rec *record, a cassiatally.Answer) {
 	a.ID = rec.call.ID
 	a.Request = rec.call.Tag()
 	a.Endpoint = r.load()
-	a.Loads = mergeLoads(r.ownLevels(), rec.children.loads)
-	a.RetriesSpent = rec.children.spent
+	a.Loads = mergeLoads(r.ownLoads(), rec.children.loads)
+	a.RetriesSpent = rec.children.retriesSpent
 	rec.phase = phaseFinished
 	rec.ended = now
-	if r.named[rec.call.Name] == rec.call.ID {
-		delete(r.named, rec.call.Name)
+	if r.runsByName[rec.call.Name] == rec.call.ID {
+		delete(r.runsByName, rec.call.Name)
 	}
 	rec.answer = a
 	rec.call.Body = nil
-	rec.children.known, rec.children.made = nil, nil
-	r.keep(rec.call.ID)
+	rec.children.calls, rec.children.attempts = nil, nil
+	r.retainFinished(rec.call.ID)
 }
 
 func notRun(id cassiatally.CallID, kind cassiatally.ErrorKind, detail string) cassiatally.Answer {
--- a/cassiatally/runner/runner_test.go
+++ b/cassiatally/runner/runner_test.go
@@ -19,7 +19,7 @@
 	entry = cassiatally.NodeID("entry")
 )
 
-// listQuarantine blocks and suspects the fingerprints that a test names.
+// listQuarantine blocks and suspects the fingerprints that a test lists.
 type listQuarantine struct {
 	blocked, suspect map[cassiatally.Fingerprint]bool
 	crashes          [][]cassiatally.Fingerprint
@@ -106,7 +106,7 @@
 	return out
 }
 
-// Guards against an outcome that says more than the result proves.
+// Guards against an outcome that claims more than the result proves.
 func TestResultsAndOutcomes(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -136,8 +136,8 @@
 	}
 }
 
-// Guards against a second run of one call, and against a question that is
-// answered wrongly after a lost link.
+// Guards against a second run of one call, and against a wrong answer to a run
+// query after a lost link.
 func TestRepeatedCallsAndQueries(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(2)
@@ -151,22 +151,22 @@
 
 	unseen := call(2, "b")
 	is.Equal(answers(h.HandleRunQuery(start, entry, cassiatally.RunQuery{ID: unseen.ID, Target: 1}))[0].Outcome, cassiatally.OutcomeNotRun)
-	is.Equal(len(started(h.HandleCall(start, entry, unseen))), 0) // voided by the question
+	is.Equal(len(started(h.HandleCall(start, entry, unseen))), 0) // voided by the query
 
 	restarted := cassiatally.RunQuery{ID: call(3, "c").ID, Target: 99}
 	is.Equal(answers(h.HandleRunQuery(start, entry, restarted))[0].Outcome, cassiatally.OutcomeUnknown)
 }
 
-// Guards against new work at a leaving backend server and against runs in flight
-// that are cut off.
+// Guards against new work at a backend server that leaves or whose node stops, and
+// against aborting the runs in flight there.
 func TestLeaving(t *testing.T) {
 	leave := map[string]func(h *harness){
 		"drain announced": func(h *harness) {
 			h.Announce(start, cassiatally.Endpoint{Service: "depot-svc", Slots: 10, State: cassiatally.EndpointDraining}, time.Second)
 		},
-		"withdrawn":           func(h *harness) { h.Withdraw(start) },
-		"announcement lapsed": func(h *harness) { h.Tick(start.Add(4 * time.Second)) },
-		"node stops":          func(h *harness) { h.Leave(start) },
+		"withdrawn":            func(h *harness) { h.Withdraw(start) },
+		"announcement expired": func(h *harness) { h.Tick(start.Add(4 * time.Second)) },
+		"node stops":           func(h *harness) { h.Leave(start) },
 	}
 	for name, f := range leave {
 		t.Run(name, func(t *testing.T) {
@@ -184,12 +184,12 @@
 }
 
 // Guards against a crash that is counted once per broken connection, and against
-// suspects that run side by side.
+// suspects that run at the same time.
 func TestCrash(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(4)
 	h.HandleCall(start, entry, call(1, "poison"))
-	h.HandleCall(start, entry, call(2, "innocent"))
+	h.HandleCall(start, entry, call(2, "unrelated"))
 	h.Finished(start, call(1, "").ID, cassiatally.RunResult{Kind: cassiatally.ResultBroken})
 	h.Finished(start.Add(time.Millisecond), call(2, "").ID, cassiatally.RunResult{Kind: cassiatally.ResultBroken})
 	is.Equal(len(h.quarantine.crashes), 1)
@@ -200,10 +200,10 @@
 		h.quarantine.suspect[f] = true
 	}
 	is.Equal(len(started(h.HandleCall(start, entry, call(3, "poison")))), 1)
-	is.Equal(len(h.HandleCall(start, entry, call(4, "innocent"))), 0) // waits
-	is.Equal(len(h.HandleCall(start, entry, call(7, "innocent"))), 0)
+	is.Equal(len(h.HandleCall(start, entry, call(4, "unrelated"))), 0) // waits
+	is.Equal(len(h.HandleCall(start, entry, call(7, "unrelated"))), 0)
 	is.Equal(len(started(h.Tick(start))), 0)
-	is.Equal(len(started(h.HandleCall(start, entry, call(5, "unrelated")))), 1)
+	is.Equal(len(started(h.HandleCall(start, entry, call(5, "not suspected")))), 1)
 	is.Equal(started(h.Finished(start, call(3, "").ID, done)), []cassiatally.CallID{call(4, "").ID})
 	is.Equal(len(answers(h.Tick(start))), 0)
 	late := answers(h.Tick(start.Add(2 * time.Second)))
@@ -225,8 +225,9 @@
 	return cassiatally.FingerprintOf("depot-svc", "reserve", []byte(body))
 }
 
-// toldTo returns the nodes that are told of a crash, and its number.
-func toldTo(actions []cassiatally.Action) (to []cassiatally.NodeID, number cassiatally.CrashNumber) {
+// crashReportRecipients returns the nodes to which a crash is reported, and the
+// number of the crash.
+func crashReportRecipients(actions []cassiatally.Action) (to []cassiatally.NodeID, number cassiatally.CrashNumber) {
 	for _, a := range actions {
 		if s, ok := a.(cassiatally.Send); ok {
 			if g, ok := s.Message.(cassiatally.Gossip); ok {
@@ -237,13 +238,13 @@
 	return to, number
 }
 
-// Guards against the cause of a crash that is sent again, by the node that sent it
-// or by its caller, to a node that has not heard of the crash.
-func TestBrokenRunsAreAnsweredOnceOthersKnow(t *testing.T) {
+// Guards against the cause of a crash being sent again, by the node that sent it or
+// by its caller, to a node that has not received the crash report.
+func TestAnswersOfBrokenRunsWaitForPeers(t *testing.T) {
 	peers := map[cassiatally.Service][]cassiatally.NodeID{"depot-svc": {"b", "c"}, "other-svc": {"d"}}
 	for _, c := range []struct {
-		name  string
-		learn func(h *harness, number cassiatally.CrashNumber) []cassiatally.Action
+		name    string
+		release func(h *harness, number cassiatally.CrashNumber) []cassiatally.Action
 	}{
 		{"acknowledged", func(h *harness, number cassiatally.CrashNumber) []cassiatally.Action {
 			return h.HandleCrashAck(start, "c", number)
@@ -260,21 +261,21 @@
 			h := newHarness(4)
 			h.SetPeers(start, peers)
 			h.HandleCall(start, entry, call(1, "poison"))
-			h.HandleCall(start, entry, call(2, "innocent"))
+			h.HandleCall(start, entry, call(2, "unrelated"))
 			first := h.Finished(start, call(1, "").ID, broken)
-			to, number := toldTo(first)
+			to, number := crashReportRecipients(first)
 			is.Equal(to, []cassiatally.NodeID{"b", "c"})
 			second := h.Finished(start.Add(time.Millisecond), call(2, "").ID, broken)
-			to, _ = toldTo(second)
+			to, _ = crashReportRecipients(second)
 			is.Equal(len(to), 0) // one crash
 			is.Equal(len(answers(append(first, second...))), 0)
-			// A lost link must not give the answer away either.
+			// A run query after a lost link must not return the withheld answer either.
 			is.Equal(len(h.HandleRunQuery(start, entry, cassiatally.RunQuery{ID: call(1, "").ID, Target: 1})), 0)
 			is.Equal(len(answers(h.HandleCrashAck(start, "b", number))), 0)
 			is.Equal(len(answers(h.HandleCrashAck(start, "c", number+1))), 0)
-			to, _ = toldTo(h.Tick(start.Add(150 * time.Millisecond)))
-			is.Equal(to, []cassiatally.NodeID{"c"}) // told again
-			got := answers(c.learn(h, number))
+			to, _ = crashReportRecipients(h.Tick(start.Add(150 * time.Millisecond)))
+			is.Equal(to, []cassiatally.NodeID{"c"}) // sent again
+			got := answers(c.release(h, number))
 			is.Equal(len(got), 2)
 			is.Equal(got[0].Kind, cassiatally.KindOutcomeUnknown)
 			is.Equal(len(answers(h.Tick(start.Add(time.Second)))), 0)
@@ -282,21 +283,21 @@
 	}
 }
 
-// Guards against an acknowledgement that is sent before the crash counts here.
-func TestCrashNewsIsAcknowledged(t *testing.T) {
+// Guards against an acknowledgement of a crash report that was not merged.
+func TestCrashReportIsAcknowledged(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(1)
-	news := cassiatally.Gossip{CrashNews: 7, Crashes: []cassiatally.CrashReport{{Fingerprint: 1, Crashes: 3}}}
-	got := h.HandleCrashReports(start, "b", news)
-	is.Equal(h.quarantine.merged, news.Crashes)
+	report := cassiatally.Gossip{CrashNews: 7, Crashes: []cassiatally.CrashReport{{Fingerprint: 1, Crashes: 3}}}
+	got := h.HandleCrashReports(start, "b", report)
+	is.Equal(h.quarantine.merged, report.Crashes)
 	is.Equal(got, []cassiatally.Action{cassiatally.Send{To: "b", Message: cassiatally.Gossip{
 		From: cassiatally.NodeRef{Node: "depot-1", Incarnation: 1}, Reply: true, CrashAck: 7,
 	}}})
 }
 
-// Guards against calls that were queued before the news of a crash and then run in
-// spite of it.
-func TestNewsOfCrashesHoldsForQueuedCalls(t *testing.T) {
+// Guards against running quarantined requests, and suspects at the same time, when
+// they were queued before the crash report arrived.
+func TestCrashReportsApplyToQueuedCalls(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(2)
 	h.HandleCall(start, entry, call(1, "a"))
@@ -317,9 +318,9 @@
 	is.Equal(started(got), []cassiatally.CallID{call(5, "").ID})
 }
 
-// Guards against queued calls that wait behind a backend server that is gone, up to
-// the time when its announcement lapses.
-func TestQueuedCallsGoOnWhenTheBackendServerIsLost(t *testing.T) {
+// Guards against queued calls that wait for a backend server that is gone until its
+// announcement expires.
+func TestQueuedCallsAreRefusedWhenTheBackendServerIsLost(t *testing.T) {
 	for _, kind := range []cassiatally.RunResultKind{cassiatally.ResultBroken, cassiatally.ResultUnreached} {
 		is := is.New(t)
 		h := newHarness(1)
@@ -328,15 +329,15 @@
 		got := answers(h.Finished(start, call(1, "").ID, cassiatally.RunResult{Kind: kind}))
 		is.Equal(len(got), 2)
 		is.Equal(got[1].ID, call(2, "").ID)
-		is.Equal(got[1].Kind, cassiatally.KindDraining) // moves on without a retry
+		is.Equal(got[1].Kind, cassiatally.KindDraining) // rerouted without using a retry
 		is.Equal(got[1].Outcome, cassiatally.OutcomeNotRun)
 	}
 }
 
 // Guards against a crash that is not counted because the backend server had only
-// just started again, and against runs that were cut off shortly before a crash
-// and are not suspected though the backend server may have worked on.
-func TestWhichRunsACrashCounts(t *testing.T) {
+// just restarted, and against runs that were cut off shortly before a crash and are
+// not suspected although the backend server may still have been working on them.
+func TestCrashCountsRunsThatMayHaveCausedIt(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(4)
 	h.HandleCall(start, entry, call(1, "a"))
@@ -351,9 +352,9 @@
 	is.Equal(len(h.quarantine.crashes), 2)
 }
 
-// Guards against levels of 1 that travel with every answer, and against levels that are
-// left out and taken for others when those of two endpoints are joined.
-func TestLevelsOfOneAreLeftOut(t *testing.T) {
+// Guards against levels of 1 that are sent with every answer, and against omitted
+// levels that count as other than 1 when the levels of two endpoints are merged.
+func TestLevelsOfOneAreOmitted(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(2)
 	h.Runner = runner.New(cassiatally.NodeRef{Node: "depot-1", Incarnation: 1}, &admitter.Admitter{}, &fixedlimiter.Limiter{Fixed: 2}, h.quarantine, func() cassiatally.CallID {
@@ -377,8 +378,8 @@
 }
 
 // Guards against a backend server whose calls are all refused as too late after some
-// of its runs were cut off at their deadline while a service below did not answer:
-// the runs themselves are short.
+// of its runs were cut off at their deadline because a service that they call did
+// not answer, although the runs themselves are short.
 func TestRunsCutOffInAnOnwardCall(t *testing.T) {
 	t.Run("by the node", func(t *testing.T) {
 		cutOffInAnOnwardCall(t, cassiatally.RunResult{Kind: cassiatally.ResultTimedOut})
@@ -421,12 +422,12 @@
 	for _, c := range cut {
 		h.Finished(now, c.ID, res)
 	}
-	started := false
+	anyStarted := false
 	for _, a := range h.HandleCall(now, entry, next()) {
 		_, isStart := a.(cassiatally.StartRun)
-		started = started || isStart
+		anyStarted = anyStarted || isStart
 	}
-	is.True(started)
+	is.True(anyStarted)
 }
 
 func childOf(parent cassiatally.Call, waiter uint64, idempotent bool) runner.ChildCall {
@@ -441,7 +442,7 @@
 }
 
 // Guards against an onward call that runs twice because the backend server sent
-// it twice, and against retries that multiply along the chain.
+// it twice, and against retries that multiply along the call chain.
 func TestOnwardCalls(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(2)
@@ -465,8 +466,8 @@
 	is.Equal(got[0].RetriesSpent, cassiatally.RetryCount(1))
 }
 
-// Guards against applications whose own retries multiply along the chain: they
-// come out of the retry budget of the root request.
+// Guards against retries of applications that multiply along the call chain instead
+// of using up the retry budget of the root request.
 func TestRetriesByTheBackendServer(t *testing.T) {
 	failed := cassiatally.Answer{Outcome: cassiatally.OutcomeRan, Kind: cassiatally.KindBackendFailed}
 	for _, c := range []struct {
@@ -478,7 +479,7 @@
 		{"after a failure", "1", &failed, 3},
 		{"after a failure, without a name", "", &failed, 3},
 		{"while the first copy is in flight", "1", nil, 2},
-		{"equal calls side by side, without a name", "", nil, 5},
+		{"equal calls in flight together, without a name", "", nil, 5},
 		{"after a success", "1", &cassiatally.Answer{Outcome: cassiatally.OutcomeRan}, 5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -508,8 +509,8 @@
 	}
 }
 
-// Guards against onward calls without a parent or with side effects that a retry
-// of the parent would repeat.
+// Guards against accepting onward calls without a parent, or with side effects that
+// a retry of the parent would repeat.
 func TestRefusedOnwardCalls(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(2)
@@ -538,9 +539,9 @@
 	is.Equal(got[0].Outcome, cassiatally.OutcomeNotRun)
 }
 
-// Guards against sheds and queue time that operators see under the wrong reason
+// Guards against shed calls and queue time that are counted under the wrong reason
 // or rank, or not at all.
-func TestCountsTellWhatWasShedAndHowLongCallsWaited(t *testing.T) {
+func TestCountsOfShedCallsAndQueueTime(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(1)
 	first, second, expired := call(1, "a"), call(2, "b"), call(3, "c")
@@ -563,9 +564,9 @@
 	is.Equal(c.LateResults, uint64(1))
 }
 
-// Guards against queued calls that are started after the backend server was told
-// that nothing more comes.
-func TestQueuedCallsMoveOnWhenTheBackendServerDrains(t *testing.T) {
+// Guards against queued calls that are started after the backend server was promised
+// no further work.
+func TestQueuedCallsAreRefusedWhenTheBackendServerDrains(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(1)
 	h.HandleCall(start, entry, call(1, "a"))
@@ -577,8 +578,9 @@
 	is.Equal(len(started(h.Finished(start, call(1, "").ID, cassiatally.RunResult{Kind: cassiatally.ResultAnswered, Status: 200}))), 0)
 }
 
-// Guards against a lost answer that counts as a crash: the requests beside it would
-// be suspected, and the backend server would get no work until it reports again.
+// Guards against a lost answer that counts as a crash: the other requests in flight
+// would become suspects, and the backend server would get no work until its next
+// report.
 func TestLostAnswerIsNoCrash(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(2)
@@ -589,8 +591,8 @@
 	is.Equal(started(h.HandleCall(start, entry, call(3, "c"))), []cassiatally.CallID{call(3, "").ID})
 }
 
-// Guards against calls of a run that are not joined to it although the front end
-// names it, and against those that outlive their parent's deadline or rank.
+// Guards against onward calls that are not assigned to the run that the front end
+// names, and against those that exceed the deadline or rank of their parent.
 func TestOnwardCallsNamedByTheFrontEnd(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(2)
--- a/cassiatally/runner/stall.go
+++ b/cassiatally/runner/stall.go
@@ -11,54 +11,56 @@
 	// stallFactor is the number of typical self times without any progress after
 	// which a backend server counts as stalled.
 	stallFactor = 2
-	// stallRuns is the least number of runs that must be under way then. Even when
-	// run times are spread exponentially, that many show no progress for so long
-	// with a chance of e^-16.
-	stallRuns = 8
-	// leftPart: a run is broken off when the time left is below this part (a third)
-	// of its age. With half the age, runs of 1 s with 1.5 s time were broken off
-	// shortly before their end.
-	leftPart = 3
+	// minStalledRuns is the least number of runs that must be in flight for that.
+	// Even when run times are exponentially distributed, the probability that this
+	// many make no progress for so long is e^-16.
+	minStalledRuns = 8
+	// ageDivisor sets the remaining time below which a run is aborted, as a part (a
+	// third) of its age. With half the age, runs that take 1 s and have 1.5 s were
+	// aborted shortly before their end.
+	ageDivisor = 3
 )
 
-// progress records that a run has ended or made its first onward call.
-func (r *Runner) progress(now cassiatally.Instant) { r.progressed = now }
+// recordProgress records that a run has ended or made an onward call, or that the
+// first run has started.
+func (r *Runner) recordProgress(now cassiatally.Instant) { r.lastProgress = now }
 
-// breakOff stops idempotent runs of a stalled backend server that have little time
-// left for the time that they have taken. All that is known about a run which takes
-// longer than any before is that time; it is taken to be three times as likely to
-// need more than a third of it again as not. All work on a run that is cut off is
-// lost, and its slot serves a call that has the time.
-func (r *Runner) breakOff(actions []cassiatally.Action, now cassiatally.Instant) []cassiatally.Action {
+// abortStalledRuns aborts idempotent runs of a stalled backend server whose
+// remaining time is short compared with their age. For a run that takes longer than
+// any before, its age is the only evidence: it is assumed to be three times as
+// likely to need more than a third of its age again as less. A run that is cut off
+// at its deadline wastes all its work, while its slot could serve a call that has
+// enough time.
+func (r *Runner) abortStalledRuns(actions []cassiatally.Action, now cassiatally.Instant) []cassiatally.Action {
 	stall := stallFactor * r.limiter.Typical()
-	if stall == 0 || r.running < stallRuns || now.Sub(r.progressed) < stall {
+	if stall == 0 || r.running < minStalledRuns || now.Sub(r.lastProgress) < stall {
 		return actions
 	}
-	under := r.underWay()
-	if len(under) < stallRuns {
+	runs := r.runsWithoutChildren()
+	if len(runs) < minStalledRuns {
 		return actions
 	}
-	for _, rec := range under {
+	for _, rec := range runs {
 		age := now.Sub(rec.started)
-		if rec.call.Idempotent && !rec.cancelled && age >= stall && rec.deadline.Sub(now) < age/leftPart {
-			rec.cancelled, rec.brokenOff = true, true
+		if rec.call.Idempotent && !rec.cancelled && age >= stall && rec.deadline.Sub(now) < age/ageDivisor {
+			rec.cancelled, rec.abortedAsStalled = true, true
 			actions = append(actions, cassiatally.AbortRun{Call: rec.call.ID})
 		}
 	}
 	return actions
 }
 
-// underWay returns the runs that have made no onward call, the oldest first. The
-// time of the others is not their own.
-func (r *Runner) underWay() []*record {
-	var under []*record
+// runsWithoutChildren returns the runs that have made no onward call, the oldest
+// first. The age of the others includes time spent in other services.
+func (r *Runner) runsWithoutChildren() []*record {
+	var runs []*record
 	for _, rec := range r.records {
-		if rec.phase == phaseRunning && len(rec.children.known) == 0 {
-			under = append(under, rec)
+		if rec.phase == phaseRunning && len(rec.children.calls) == 0 {
+			runs = append(runs, rec)
 		}
 	}
-	slices.SortFunc(under, func(a, b *record) int {
+	slices.SortFunc(runs, func(a, b *record) int {
 		return cmp.Or(cmp.Compare(a.started, b.started), cmp.Compare(a.call.ID.Origin, b.call.ID.Origin), cmp.Compare(a.call.ID.Seq, b.call.ID.Seq))
 	})
-	return under
+	return runs
 }
--- a/cassiatally/runner/stall_test.go
+++ b/cassiatally/runner/stall_test.go
@@ -11,19 +11,19 @@
 	"github.com/cassiatally/cassiatally/cassiatally/runner"
 )
 
-const stallRun = 200 * time.Millisecond
+const stallRunTime = 200 * time.Millisecond
 
-// stalled returns a runner whose runs took stallRun, and then start and do not
-// end. Runs of calls with the ids from 100 on are in flight.
-func stalled(n int, change func(i int, c *cassiatally.Call)) *harness {
+// newStalledHarness returns a runner whose first run took stallRun, followed by n
+// runs that start and do not end. Their calls have the ids from 100 on.
+func newStalledHarness(n int, change func(i int, c *cassiatally.Call)) *harness {
 	h := newHarness(20)
-	now := start.Add(-stallRun)
+	now := start.Add(-stallRunTime)
 	c := call(1, "a")
 	h.HandleCall(now, entry, c)
 	h.Finished(start, c.ID, cassiatally.RunResult{Kind: cassiatally.ResultAnswered, Status: 200})
 	for i := range n {
 		c := call(uint64(100+i), fmt.Sprint(i))
-		c.Idempotent, c.Remaining = true, 4*stallRun
+		c.Idempotent, c.Remaining = true, 4*stallRunTime
 		change(i, &c)
 		h.HandleCall(start, entry, c)
 	}
@@ -39,10 +39,10 @@
 	return ids
 }
 
-// Guards against runs that occupy a stalled backend server up to a deadline which
-// they cannot meet, and against the end of runs that may still meet it.
-func TestStalledRunsAreBrokenOff(t *testing.T) {
-	keep := func(int, *cassiatally.Call) {}
+// Guards against runs that occupy a stalled backend server up to a deadline that
+// they cannot meet, and against aborting runs that may still meet it.
+func TestStalledRunsAreAborted(t *testing.T) {
+	unchanged := func(int, *cassiatally.Call) {}
 	cases := []struct {
 		name   string
 		runs   int
@@ -50,28 +50,28 @@
 		after  time.Duration
 		want   int
 	}{
-		{"little time left", 10, keep, 3*stallRun + time.Millisecond, 10},
-		{"time left", 10, keep, 5 * stallRun / 2, 0},
-		{"few runs may take long by chance", 5, keep, 3*stallRun + time.Millisecond, 0},
-		{"runs that must not be broken off", 10, func(i int, c *cassiatally.Call) { c.Idempotent = i > 0 }, 3*stallRun + time.Millisecond, 9},
+		{"little time remains", 10, unchanged, 3*stallRunTime + time.Millisecond, 10},
+		{"enough time remains", 10, unchanged, 5 * stallRunTime / 2, 0},
+		{"few runs may take long by chance", 5, unchanged, 3*stallRunTime + time.Millisecond, 0},
+		{"non-idempotent run", 10, func(i int, c *cassiatally.Call) { c.Idempotent = i > 0 }, 3*stallRunTime + time.Millisecond, 9},
 		{"some have more time", 10, func(i int, c *cassiatally.Call) {
 			if i < 4 {
-				c.Remaining = 10 * stallRun
+				c.Remaining = 10 * stallRunTime
 			}
-		}, 3*stallRun + time.Millisecond, 6},
+		}, 3*stallRunTime + time.Millisecond, 6},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			h := stalled(c.runs, c.change)
+			h := newStalledHarness(c.runs, c.change)
 			is.Equal(len(aborted(h.Tick(start.Add(c.after)))), c.want)
 			is.Equal(len(aborted(h.Tick(start.Add(c.after)))), 0) // once only
 		})
 	}
 }
 
-// Guards against runs that are broken off while others end or make onward calls.
-func TestProgressKeepsRuns(t *testing.T) {
+// Guards against runs that are aborted although others end or make onward calls.
+func TestProgressPreventsAborts(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		progress func(h *harness, now cassiatally.Instant)
@@ -85,19 +85,19 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			h := stalled(10, func(int, *cassiatally.Call) {})
-			c.progress(h, start.Add(2*stallRun))
-			is.Equal(len(aborted(h.Tick(start.Add(3*stallRun+time.Millisecond)))), 0)
+			h := newStalledHarness(10, func(int, *cassiatally.Call) {})
+			c.progress(h, start.Add(2*stallRunTime))
+			is.Equal(len(aborted(h.Tick(start.Add(3*stallRunTime+time.Millisecond)))), 0)
 		})
 	}
 }
 
-// Guards against a caller that is told something else than that the time did not
-// suffice, when its run was broken off.
-func TestBrokenOffRunIsExpired(t *testing.T) {
+// Guards against an answer other than expired to the caller of a run that was
+// aborted because it was unlikely to meet its deadline.
+func TestAbortedStalledRunIsExpired(t *testing.T) {
 	is := is.New(t)
-	h := stalled(10, func(int, *cassiatally.Call) {})
-	now := start.Add(3*stallRun + time.Millisecond)
+	h := newStalledHarness(10, func(int, *cassiatally.Call) {})
+	now := start.Add(3*stallRunTime + time.Millisecond)
 	ids := aborted(h.Tick(now))
 	is.Equal(len(ids), 10)
 	got := answers(h.Finished(now, ids[0], cassiatally.RunResult{Kind: cassiatally.ResultAborted}))
