--- a/cassiatally/quarantiner/quarantiner.go
+++ b/cassiatally/quarantiner/quarantiner.go
@@ -1,9 +1,10 @@
-// Package quarantiner stops requests that crash backend servers. It counts the
-// crashes of each fingerprint over the whole fleet from the reports of single
-// nodes. Three crashes without a completed run quarantine a fingerprint.
+// Package quarantiner quarantines requests that crash backend servers. It counts the
+// crashes of each fingerprint over the whole fleet from the reports of the nodes.
+// Three crashes without a completed run quarantine a fingerprint.
 //
-// A report only grows, first by its clears and then by its crashes, so that
-// reports may arrive twice, late and by several ways without counting twice.
+// Successive reports of a node on a fingerprint only increase, ordered by their
+// clears and then by their crashes. Reports may therefore arrive repeatedly, late
+// and over several paths without counting twice.
 //
 // # Usage
 //
@@ -16,8 +17,8 @@
 //	q.Merge(now, gossip.Crashes)
 //	registrar.SetCrashes(q.Reports(now)) // at every tick
 //
-// Requests that were in flight beside the cause are suspects too. Their next
-// completed run anywhere clears them. A Quarantiner is not safe for concurrent
+// Unrelated requests that were in flight in a crash are suspects too. Their next
+// completed run on any node clears them. A Quarantiner is not safe for concurrent
 // use.
 package quarantiner
 
@@ -31,26 +32,28 @@
 )
 
 const (
-	crashLimit    = 3
-	quarantineFor = 10 * time.Minute
-	// Records outlast the relaying of their reports by far, so that a report
-	// never comes back to a node that has forgotten it.
-	keepFor  = 10 * time.Minute
-	relayFor = time.Minute
+	crashesToQuarantine = 3
+	quarantineDuration  = 10 * time.Minute
+	// Records are kept much longer than their reports are relayed, so that a report
+	// never returns to a node whose record of it has expired.
+	recordRetention = 10 * time.Minute
+	relayDuration   = time.Minute
 
 	maxRecords = 1024
-	// maxReporters bounds the reporters of a fingerprint; three are enough.
+	// maxReporters bounds the reporters of a fingerprint; three reporters with one
+	// crash each are enough to quarantine it.
 	maxReporters = 256
 	// maxReports bounds the reports of a gossip message.
 	maxReports = 8
-	// reportEvery matches the gossip rounds, so that each set of reports is sent
-	// however often the owner asks for it.
-	reportEvery = time.Second
+	// reportInterval matches the gossip interval, so that each set of reports is sent
+	// even when the owner asks for reports more often.
+	reportInterval = time.Second
 )
 
 var _ cassiatally.Quarantine = (*Quarantiner)(nil)
 
-// Quarantiner is the table of suspects of one node.
+// Quarantiner holds the suspects and quarantined requests that one node has
+// recorded.
 type Quarantiner struct {
 	self    cassiatally.NodeRef
 	records map[cassiatally.Fingerprint]*record
@@ -60,25 +63,25 @@
 	changed    bool
 }
 
-// record is what is known about one fingerprint.
+// record holds the reports on one fingerprint.
 type record struct {
 	tallies map[cassiatally.NodeRef]*tally
-	// until is the end of the quarantine; zero when there is none.
-	until     cassiatally.Instant
-	changedAt cassiatally.Instant
+	// quarantinedUntil is zero when the fingerprint is not quarantined.
+	quarantinedUntil cassiatally.Instant
+	changedAt        cassiatally.Instant
 }
 
-// tally is the greatest report of one node.
+// tally is the latest report of one node.
 type tally struct {
 	clears, crashes uint16
-	// settled counts the crashes that a completed run or the end of a quarantine
-	// took out of the count.
-	settled    uint16
+	// discounted is the number of crashes that no longer count since a completed run
+	// or the end of a quarantine.
+	discounted uint16
 	changedAt  cassiatally.Instant
 	reportedAt cassiatally.Instant
 }
 
-// New returns an empty quarantine of the node.
+// New returns a quarantiner without records for the node.
 func New(self cassiatally.NodeRef) *Quarantiner {
 	return &Quarantiner{self: self, records: map[cassiatally.Fingerprint]*record{}}
 }
@@ -86,7 +89,7 @@
 // Blocked reports whether the request must not be run.
 func (q *Quarantiner) Blocked(now cassiatally.Instant, f cassiatally.Fingerprint) bool {
 	r := q.lookup(now, f)
-	return r != nil && r.until != 0
+	return r != nil && r.quarantinedUntil != 0
 }
 
 // Suspect reports whether the request was in flight in a crash and has not
@@ -96,7 +99,8 @@
 	return r != nil && r.crashes() > 0
 }
 
-// Crashed records a crash with these requests in flight.
+// Crashed records a crash during which these requests were in flight. A
+// fingerprint that is listed twice counts once.
 func (q *Quarantiner) Crashed(now cassiatally.Instant, inFlight []cassiatally.Fingerprint) {
 	counted := map[cassiatally.Fingerprint]bool{}
 	for _, f := range inFlight {
@@ -104,18 +108,19 @@
 			continue
 		}
 		counted[f] = true
-		r := q.open(now, f)
+		r := q.lookupOrCreate(now, f)
 		t := r.tally(q.self)
 		if t == nil {
 			continue
 		}
 		t.crashes++
-		q.touch(now, r, t)
-		r.judge(now)
+		q.markChanged(now, r, t)
+		r.updateQuarantine(now)
 	}
 }
 
-// Completed clears a request.
+// Completed records that a run of the request has completed, which clears it of
+// suspicion.
 func (q *Quarantiner) Completed(now cassiatally.Instant, f cassiatally.Fingerprint) {
 	r := q.lookup(now, f)
 	if r == nil || r.crashes() == 0 {
@@ -123,23 +128,23 @@
 	}
 	if t := r.tally(q.self); t != nil {
 		t.clears++
-		t.crashes, t.settled = 0, 0
-		q.touch(now, r, t)
+		t.crashes, t.discounted = 0, 0
+		q.markChanged(now, r, t)
 	}
-	r.settle()
+	r.discountAll()
 }
 
-// Merge records what another node told.
+// Merge records the crash reports of another node.
 func (q *Quarantiner) Merge(now cassiatally.Instant, reports []cassiatally.CrashReport) {
 	for _, in := range reports {
-		// A report of this node itself is merged too: it continues the counts of a
-		// record that was dropped to make room.
+		// Reports by this node itself are merged too: they restore the counts of a
+		// record that was evicted.
 		q.merge(now, in)
 	}
 }
 
 func (q *Quarantiner) merge(now cassiatally.Instant, in cassiatally.CrashReport) {
-	r := q.open(now, in.Fingerprint)
+	r := q.lookupOrCreate(now, in.Fingerprint)
 	t := r.tally(in.Reporter)
 	if t == nil || cmp.Or(cmp.Compare(in.Clears, t.clears), cmp.Compare(in.Crashes, t.crashes)) <= 0 {
 		return
@@ -147,11 +152,11 @@
 	cleared := in.Clears > t.clears
 	t.clears, t.crashes = in.Clears, in.Crashes
 	if cleared {
-		t.settled = 0
-		r.settleOthers(t)
+		t.discounted = 0
+		r.discountOthers(t)
 	}
-	q.touch(now, r, t)
-	r.judge(now)
+	q.markChanged(now, r, t)
+	r.updateQuarantine(now)
 }
 
 // Count returns how many requests are suspects and how many are quarantined. A
@@ -168,46 +173,47 @@
 	return suspects, quarantined
 }
 
-// News returns all that is known of the crashes of some requests. Who merges the
-// reports in their order comes to the same count: crashes that a completed run has
-// settled stand before that run, and those after it behind it.
+// News returns all recorded crash reports on some requests. A node that merges them
+// in this order arrives at the same count: the crashes that a completed run cleared
+// come before the report of that run, and later crashes after it.
 func (q *Quarantiner) News(now cassiatally.Instant, of []cassiatally.Fingerprint) []cassiatally.CrashReport {
 	var out []cassiatally.CrashReport
-	told := map[cassiatally.Fingerprint]bool{}
+	added := map[cassiatally.Fingerprint]bool{}
 	for _, f := range of {
-		if r := q.lookup(now, f); r != nil && !told[f] {
-			told[f] = true
-			out = append(out, r.news(f)...)
+		if r := q.lookup(now, f); r != nil && !added[f] {
+			added[f] = true
+			out = append(out, r.allReports(f)...)
 		}
 	}
 	return out
 }
 
-func (r *record) news(f cassiatally.Fingerprint) []cassiatally.CrashReport {
-	var settled, cleared, open []cassiatally.CrashReport
+func (r *record) allReports(f cassiatally.Fingerprint) []cassiatally.CrashReport {
+	var discounted, cleared, open []cassiatally.CrashReport
 	refs := slices.SortedFunc(maps.Keys(r.tallies), func(a, b cassiatally.NodeRef) int {
 		return cmp.Compare(a.String(), b.String())
 	})
 	for _, ref := range refs {
 		t := r.tallies[ref]
-		if t.settled > 0 && t.clears == 0 {
-			before := tally{crashes: t.settled}
-			settled = append(settled, before.report(f, ref))
+		if t.discounted > 0 && t.clears == 0 {
+			before := tally{crashes: t.discounted}
+			discounted = append(discounted, before.report(f, ref))
 		}
 		switch {
 		case t.clears > 0:
 			cleared = append(cleared, t.report(f, ref))
-		case t.crashes > t.settled:
+		case t.crashes > t.discounted:
 			open = append(open, t.report(f, ref))
 		}
 	}
-	return slices.Concat(settled, cleared, open)
+	return slices.Concat(discounted, cleared, open)
 }
 
-// Reports returns what to tell other nodes: recent changes, those first that
-// were not told for the longest time. The next ones follow after a second.
+// Reports returns the reports to send to other nodes: recent changes, starting with
+// those that were reported least recently. The selection changes every second, or
+// when a new change is recorded.
 func (q *Quarantiner) Reports(now cassiatally.Instant) []cassiatally.CrashReport {
-	if q.changed || now.Reached(q.reportedAt.Add(reportEvery)) {
+	if q.changed || now.Reached(q.reportedAt.Add(reportInterval)) {
 		q.reports = q.nextReports(now)
 		q.reportedAt = now
 		q.changed = false
@@ -223,7 +229,7 @@
 	var items []item
 	for f, r := range q.records {
 		for ref, t := range r.tallies {
-			if now.Sub(t.changedAt) < relayFor && (t.clears > 0 || t.crashes > 0) {
+			if now.Sub(t.changedAt) < relayDuration && (t.clears > 0 || t.crashes > 0) {
 				items = append(items, item{t.report(f, ref), t})
 			}
 		}
@@ -244,15 +250,15 @@
 	return out
 }
 
-// lookup returns the record of a fingerprint, or nil, and ends a quarantine or
-// a record whose time is over.
+// lookup returns the record of a fingerprint, or nil. It ends a quarantine that has
+// run out and deletes an expired record.
 func (q *Quarantiner) lookup(now cassiatally.Instant, f cassiatally.Fingerprint) *record {
 	r := q.records[f]
 	if r == nil {
 		return nil
 	}
-	if r.until != 0 && now.Reached(r.until) {
-		r.settle()
+	if r.quarantinedUntil != 0 && now.Reached(r.quarantinedUntil) {
+		r.discountAll()
 	}
 	if r.expired(now) {
 		delete(q.records, f)
@@ -261,28 +267,28 @@
 	return r
 }
 
-func (q *Quarantiner) open(now cassiatally.Instant, f cassiatally.Fingerprint) *record {
+func (q *Quarantiner) lookupOrCreate(now cassiatally.Instant, f cassiatally.Fingerprint) *record {
 	if r := q.lookup(now, f); r != nil {
 		return r
 	}
 	if len(q.records) >= maxRecords {
-		q.makeRoom(now)
+		q.evict(now)
 	}
 	r := &record{tallies: map[cassiatally.NodeRef]*tally{}, changedAt: now}
 	q.records[f] = r
 	return r
 }
 
-// makeRoom drops expired records, or else the one that changed least recently,
-// quarantined ones last.
-func (q *Quarantiner) makeRoom(now cassiatally.Instant) {
+// evict deletes expired records, or else the one that changed least recently.
+// Quarantined ones are deleted last.
+func (q *Quarantiner) evict(now cassiatally.Instant) {
 	maps.DeleteFunc(q.records, func(_ cassiatally.Fingerprint, r *record) bool { return r.expired(now) })
 	if len(q.records) < maxRecords {
 		return
 	}
 	oldest := slices.MinFunc(slices.Collect(maps.Keys(q.records)), func(a, b cassiatally.Fingerprint) int {
 		x, y := q.records[a], q.records[b]
-		return cmp.Or(cmp.Compare(x.until, y.until), cmp.Compare(x.changedAt, y.changedAt), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(x.quarantinedUntil, y.quarantinedUntil), cmp.Compare(x.changedAt, y.changedAt), cmp.Compare(a, b))
 	})
 	delete(q.records, oldest)
 }
@@ -295,7 +301,7 @@
 }
 
 func (r *record) expired(now cassiatally.Instant) bool {
-	return !now.Before(r.until) && now.Sub(r.changedAt) >= keepFor
+	return !now.Before(r.quarantinedUntil) && now.Sub(r.changedAt) >= recordRetention
 }
 
 func (r *record) tally(ref cassiatally.NodeRef) *tally {
@@ -307,39 +313,39 @@
 	return t
 }
 
-func (q *Quarantiner) touch(now cassiatally.Instant, r *record, t *tally) {
+func (q *Quarantiner) markChanged(now cassiatally.Instant, r *record, t *tally) {
 	t.changedAt, t.reportedAt = now, 0
 	r.changedAt = now
 	q.changed = true
 }
 
-// crashes returns the crashes since the last completed run.
+// crashes returns the number of crashes since the last completed run.
 func (r *record) crashes() int {
 	n := 0
 	for _, t := range r.tallies {
-		n += int(t.crashes - t.settled)
+		n += int(t.crashes - t.discounted)
 	}
 	return n
 }
 
-func (r *record) judge(now cassiatally.Instant) {
+func (r *record) updateQuarantine(now cassiatally.Instant) {
 	switch n := r.crashes(); {
 	case n == 0:
-		r.until = 0
-	case n >= crashLimit && r.until == 0:
-		r.until = now.Add(quarantineFor)
+		r.quarantinedUntil = 0
+	case n >= crashesToQuarantine && r.quarantinedUntil == 0:
+		r.quarantinedUntil = now.Add(quarantineDuration)
 	}
 }
 
-func (r *record) settle() { r.settleOthers(nil) }
+func (r *record) discountAll() { r.discountOthers(nil) }
 
-// settleOthers takes all crashes out of the count, except those that a report
-// tells after its own completed run.
-func (r *record) settleOthers(except *tally) {
+// discountOthers removes all crashes from the count, except those of the given
+// tally, which happened after its completed run.
+func (r *record) discountOthers(except *tally) {
 	for _, t := range r.tallies {
 		if t != except {
-			t.settled = t.crashes
+			t.discounted = t.crashes
 		}
 	}
-	r.until = 0
+	r.quarantinedUntil = 0
 }
--- a/cassiatally/quarantiner/quarantiner_test.go
+++ b/cassiatally/quarantiner/quarantiner_test.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	poison   cassiatally.Fingerprint = 1
-	innocent cassiatally.Fingerprint = 2
-	start                            = cassiatally.Instant(time.Hour)
+	poison    cassiatally.Fingerprint = 1
+	unrelated cassiatally.Fingerprint = 2
+	start                             = cassiatally.Instant(time.Hour)
 )
 
 func nodes(names ...cassiatally.NodeID) []*quarantiner.Quarantiner {
@@ -24,7 +24,8 @@
 	return out
 }
 
-// exchange has every node tell every other, twice and in both orders.
+// exchange merges the reports of every node at every node, in two rounds and each
+// time twice.
 func exchange(now cassiatally.Instant, all []*quarantiner.Quarantiner) {
 	for range 2 {
 		for i, q := range all {
@@ -37,8 +38,9 @@
 	}
 }
 
-// Guards against a poisonous request that travels on because no single node saw
-// all its crashes, and against duplicates that quarantine it too early.
+// Guards against a request that keeps crashing backend servers because no single
+// node saw all its crashes, and against repeated reports that quarantine it too
+// early.
 func TestCrashesCountFleetWide(t *testing.T) {
 	is := is.New(t)
 	all := nodes("a", "b", "c", "d")
@@ -51,52 +53,54 @@
 	for _, q := range all {
 		is.True(q.Blocked(start, poison))
 	}
-	all[0].Crashed(start, []cassiatally.Fingerprint{innocent})
+	all[0].Crashed(start, []cassiatally.Fingerprint{unrelated})
 	suspects, quarantined := all[0].Count(start)
-	is.Equal(suspects, 1) // operators must not see the quarantined one here too
+	is.Equal(suspects, 1) // a quarantined request must not count as a suspect too
 	is.Equal(quarantined, 1)
 	end := start.Add(10 * time.Minute)
 	is.True(all[3].Blocked(end-1, poison))
 	is.True(!all[3].Blocked(end, poison))
 	all[3].Crashed(end, []cassiatally.Fingerprint{poison})
-	is.True(!all[3].Blocked(end, poison)) // counts from the start again
+	is.True(!all[3].Blocked(end, poison)) // the count starts again at 0
 }
 
-// Guards against an innocent request being blocked because it is often in flight
-// when another request crashes backend servers.
-func TestInnocentIsNeverBlocked(t *testing.T) {
+// Guards against an unrelated request being quarantined because it is often in
+// flight when another request crashes backend servers.
+func TestUnrelatedRequestIsNeverBlocked(t *testing.T) {
 	is := is.New(t)
 	all := nodes("a", "b", "c", "d")
 	now := start
 	for i := range 12 {
 		now = now.Add(time.Second)
-		all[i%3].Crashed(now, []cassiatally.Fingerprint{innocent})
+		all[i%3].Crashed(now, []cassiatally.Fingerprint{unrelated})
 		exchange(now, all)
-		is.True(all[3].Suspect(now, innocent))
-		// The same node completes it each time, and the others must learn of each.
-		all[0].Completed(now, innocent)
+		is.True(all[3].Suspect(now, unrelated))
+		// The same node completes it each time, and the others must record each clear.
+		all[0].Completed(now, unrelated)
 		exchange(now, all)
 		for _, q := range all {
-			is.True(!q.Suspect(now, innocent))
-			is.True(!q.Blocked(now, innocent))
+			is.True(!q.Suspect(now, unrelated))
+			is.True(!q.Blocked(now, unrelated))
 		}
 	}
 }
 
-// Guards against a late report from before a completed run that counts again.
+// Guards against counting crashes again when a report from before a completed run
+// arrives late.
 func TestLateReportDoesNotCount(t *testing.T) {
 	is := is.New(t)
 	all := nodes("a", "b")
-	all[0].Crashed(start, []cassiatally.Fingerprint{innocent})
-	all[0].Crashed(start, []cassiatally.Fingerprint{innocent})
+	all[0].Crashed(start, []cassiatally.Fingerprint{unrelated})
+	all[0].Crashed(start, []cassiatally.Fingerprint{unrelated})
 	late := all[0].Reports(start)
-	all[0].Completed(start, innocent)
+	all[0].Completed(start, unrelated)
 	all[1].Merge(start, all[0].Reports(start))
 	all[1].Merge(start, late)
-	is.True(!all[1].Suspect(start, innocent))
+	is.True(!all[1].Suspect(start, unrelated))
 }
 
-// Guards against a table that grows without bound or drops what is quarantined.
+// Guards against a table that grows without bound, and against evicting a
+// quarantined request.
 func TestTableIsBounded(t *testing.T) {
 	is := is.New(t)
 	q := nodes("a")[0]
@@ -118,9 +122,9 @@
 	is.True(len(q.Reports(now)) <= 8)
 }
 
-// Guards against reports that are never told because others of the same time
-// fill each message, when the owner asks more often than gossip sends.
-func TestAllReportsAreToldInTurn(t *testing.T) {
+// Guards against reports that are never sent because others of the same time fill
+// each message, when the owner asks for reports more often than gossip sends them.
+func TestAllReportsAreSentInTurn(t *testing.T) {
 	is := is.New(t)
 	q := nodes("a")[0]
 	var inFlight []cassiatally.Fingerprint
@@ -128,38 +132,38 @@
 		inFlight = append(inFlight, cassiatally.Fingerprint(1+f))
 	}
 	q.Crashed(start, inFlight)
-	told := map[cassiatally.Fingerprint]bool{}
+	sent := map[cassiatally.Fingerprint]bool{}
 	for i := range 40 {
 		reports := q.Reports(start.Add(time.Duration(i) * 100 * time.Millisecond))
 		if i%10 == 0 {
 			for _, r := range reports {
-				told[r.Fingerprint] = true
+				sent[r.Fingerprint] = true
 			}
 		}
 	}
-	is.Equal(len(told), 32)
+	is.Equal(len(sent), 32)
 }
 
-// Guards against a node that blames an innocent request, or lets the cause run,
-// because a crash tells only what its own node saw.
-func TestNewsTellsAllThatIsKnownOfTheRequests(t *testing.T) {
+// Guards against a node that suspects an unrelated request, or runs the cause of a
+// crash, because a crash report contains only the crashes at the reporting node.
+func TestCrashReportsContainCrashesOfOtherNodes(t *testing.T) {
 	is := is.New(t)
 	all := nodes("a", "b", "c")
-	all[0].Crashed(start, []cassiatally.Fingerprint{poison, innocent})
+	all[0].Crashed(start, []cassiatally.Fingerprint{poison, unrelated})
 	all[1].Merge(start, all[0].Reports(start))
-	all[1].Completed(start, innocent)
+	all[1].Completed(start, unrelated)
 	all[1].Crashed(start, []cassiatally.Fingerprint{poison, 3})
 	all[1].Crashed(start, []cassiatally.Fingerprint{poison})
 	is.Equal(len(all[1].News(start, []cassiatally.Fingerprint{3, 3, 4})), 1)
-	all[2].Merge(start, all[1].News(start, []cassiatally.Fingerprint{poison, innocent}))
+	all[2].Merge(start, all[1].News(start, []cassiatally.Fingerprint{poison, unrelated}))
 	is.True(all[2].Blocked(start, poison))
-	is.True(!all[2].Suspect(start, innocent))
-	is.True(!all[2].Suspect(start, 3)) // was not asked about
+	is.True(!all[2].Suspect(start, unrelated))
+	is.True(!all[2].Suspect(start, 3)) // not among the requested fingerprints
 }
 
-// Guards against reports in an order in which a completed run settles crashes that
-// came after it, or leaves those that came before it.
-func TestNewsKeepsTheCount(t *testing.T) {
+// Guards against reports in an order in which a completed run clears crashes that
+// happened after it, or does not clear those that happened before it.
+func TestCrashReportsPreserveTheCount(t *testing.T) {
 	for range 20 { // the order of a map varies
 		is := is.New(t)
 		all := nodes("a", "b", "c", "d")
