--- a/cassiatally/instancetracker/tracker.go
+++ b/cassiatally/instancetracker/tracker.go
@@ -1,6 +1,6 @@
-// Package instancetracker decides which instance of a backend server is behind the
-// address beside a node, and in which state. Reports come late, more than once and
-// from instances that have ended.
+// Package instancetracker determines which instance of a backend server currently
+// serves the address beside a node, and its state. Reports may arrive late, more
+// than once and from instances that have ended.
 //
 // # Usage
 //
@@ -18,58 +18,60 @@
 )
 
 const (
-	// maxRetired bounds the instances that are remembered as ended.
+	// maxRetired bounds the ended instances that are kept.
 	maxRetired = 64
-	// lateFor is how late a report may come. An instance that left before this node
-	// knew its start is ignored for that long; it may start again under its id.
-	lateFor = 10 * time.Second
+	// maxReportDelay is how late a report may arrive. Reports of an instance that left
+	// before this node had recorded its start are ignored for that long; after that
+	// the instance may start again under its id.
+	maxReportDelay = 10 * time.Second
 )
 
 // Tracker follows the instances at one address.
 type Tracker struct {
-	current cassiatally.InstanceReport
-	known   bool
-	left    bool
-	// retired has the instances that left or were replaced.
-	retired map[cassiatally.InstanceID]retirement
-	order   []cassiatally.InstanceID
+	current     cassiatally.InstanceReport
+	hasCurrent  bool
+	currentLeft bool
+	// retired holds the instances that left or were replaced.
+	retired      map[cassiatally.InstanceID]retirement
+	retiredOrder []cassiatally.InstanceID
 }
 
-// retirement ends an instance: the starts up to born, and all of them before until.
+// retirement states which reports of an ended instance are ignored: those of its
+// starts up to lastStart, and all that arrive before ignoreUntil.
 type retirement struct {
-	born  int64
-	until cassiatally.Instant
+	lastStart   int64
+	ignoreUntil cassiatally.Instant
 }
 
 func (e retirement) covers(now cassiatally.Instant, r cassiatally.InstanceReport) bool {
-	return now.Before(e.until) || r.Born <= e.born
+	return now.Before(e.ignoreUntil) || r.Born <= e.lastStart
 }
 
-// Current returns the latest report of the instance in place. It returns false when
+// Current returns the latest report of the current instance. It returns false when
 // there is none or when the instance has left.
 func (t *Tracker) Current() (cassiatally.InstanceReport, bool) {
-	return t.current, t.known && !t.left
+	return t.current, t.hasCurrent && !t.currentLeft
 }
 
-// Observe takes a report and tells whether it is news: a late report of an
-// instance, or one of an instance that ended, is not.
+// Observe records a report and returns whether it was accepted. Late reports and
+// reports of instances that have ended are not.
 func (t *Tracker) Observe(now cassiatally.Instant, r cassiatally.InstanceReport) bool {
 	if !valid(r) {
 		return false
 	}
-	if t.known && sameStart(t.current, r) {
-		return t.renew(r)
+	if t.hasCurrent && sameStart(t.current, r) {
+		return t.updateCurrent(r)
 	}
 	if e, ended := t.retired[r.Instance]; ended && e.covers(now, r) {
 		return false
 	}
-	if t.known && r.Born != 0 && r.Born < t.current.Born {
+	if t.hasCurrent && r.Born != 0 && r.Born < t.current.Born {
 		return false
 	}
-	if t.known {
-		t.retire(t.current.Instance, retirement{born: t.current.Born})
+	if t.hasCurrent {
+		t.retire(t.current.Instance, retirement{lastStart: t.current.Born})
 	}
-	t.current, t.known, t.left = r, true, false
+	t.current, t.hasCurrent, t.currentLeft = r, true, false
 	return true
 }
 
@@ -77,18 +79,18 @@
 	return r.Instance != "" && r.Service != "" && r.Address != "" && r.State != cassiatally.EndpointNone
 }
 
-// sameStart reports whether two reports are of the same start of an instance. One
-// that does not tell its start is taken for the one that is known.
+// sameStart reports whether two reports are of the same start of an instance. A
+// report without a start time is assumed to be of the same start.
 func sameStart(a, b cassiatally.InstanceReport) bool {
 	return a.Instance == b.Instance && (a.Born == b.Born || a.Born == 0 || b.Born == 0)
 }
 
-func (t *Tracker) renew(r cassiatally.InstanceReport) bool {
-	if t.left || (t.current.Sequence != 0 && r.Sequence <= t.current.Sequence) {
+func (t *Tracker) updateCurrent(r cassiatally.InstanceReport) bool {
+	if t.currentLeft || (t.current.Sequence != 0 && r.Sequence <= t.current.Sequence) {
 		return false
 	}
 	if t.current.State == cassiatally.EndpointDraining {
-		// An instance that leaves does not come back.
+		// A draining instance does not become ready again.
 		r.State = cassiatally.EndpointDraining
 	}
 	if r.Born == 0 {
@@ -98,15 +100,16 @@
 	return true
 }
 
-// RecordLeave records that an instance has left and tells whether it was in place.
+// RecordLeave records that an instance has left and returns whether it was the
+// current one.
 func (t *Tracker) RecordLeave(now cassiatally.Instant, id cassiatally.InstanceID) bool {
-	if !t.known || t.current.Instance != id {
-		// It may have been acknowledged by an earlier start of this node, and its late
-		// reports must not bring it back.
-		t.retire(id, retirement{until: now.Add(lateFor)})
+	if !t.hasCurrent || t.current.Instance != id {
+		// An earlier incarnation of this node may have acknowledged the instance, and
+		// late reports must not make it the current one again.
+		t.retire(id, retirement{ignoreUntil: now.Add(maxReportDelay)})
 		return false
 	}
-	t.left = true
+	t.currentLeft = true
 	return true
 }
 
@@ -114,13 +117,13 @@
 	if t.retired == nil {
 		t.retired = make(map[cassiatally.InstanceID]retirement)
 	}
-	old, known := t.retired[id]
-	if !known {
-		t.order = append(t.order, id)
+	old, exists := t.retired[id]
+	if !exists {
+		t.retiredOrder = append(t.retiredOrder, id)
 	}
-	t.retired[id] = retirement{born: max(old.born, e.born), until: max(old.until, e.until)}
-	if len(t.order) > maxRetired {
-		delete(t.retired, t.order[0])
-		t.order = t.order[1:]
+	t.retired[id] = retirement{lastStart: max(old.lastStart, e.lastStart), ignoreUntil: max(old.ignoreUntil, e.ignoreUntil)}
+	if len(t.retiredOrder) > maxRetired {
+		delete(t.retired, t.retiredOrder[0])
+		t.retiredOrder = t.retiredOrder[1:]
 	}
 }
--- a/cassiatally/instancetracker/tracker_test.go
+++ b/cassiatally/instancetracker/tracker_test.go
@@ -10,8 +10,8 @@
 	"github.com/cassiatally/cassiatally/cassiatally/instancetracker"
 )
 
-func report(id cassiatally.InstanceID, born int64, seq uint64, s cassiatally.EndpointState) cassiatally.InstanceReport {
-	return cassiatally.InstanceReport{Instance: id, Born: born, Sequence: seq, Service: "depot-svc", Address: "10.0.0.1:80", State: s}
+func report(id cassiatally.InstanceID, started int64, seq uint64, s cassiatally.EndpointState) cassiatally.InstanceReport {
+	return cassiatally.InstanceReport{Instance: id, Born: started, Sequence: seq, Service: "depot-svc", Address: "10.0.0.1:80", State: s}
 }
 
 const (
@@ -20,35 +20,35 @@
 )
 
 // Guards against a backend server that is used after it left or was replaced,
-// because a late report is taken for a new one.
+// because a late report is accepted as a new one.
 func TestLateReports(t *testing.T) {
 	cases := []struct {
-		name    string
-		reports []cassiatally.InstanceReport
-		want    cassiatally.InstanceID
-		state   cassiatally.EndpointState
-		news    bool
+		name     string
+		reports  []cassiatally.InstanceReport
+		want     cassiatally.InstanceID
+		state    cassiatally.EndpointState
+		accepted bool
 	}{
 		{"newer report", []cassiatally.InstanceReport{report("a", 5, 1, ready), report("a", 5, 2, draining)}, "a", draining, true},
 		{"late report", []cassiatally.InstanceReport{report("a", 5, 3, draining), report("a", 5, 2, ready)}, "a", draining, false},
 		{"drained instance reports ready", []cassiatally.InstanceReport{report("a", 5, 3, draining), report("a", 5, 4, ready)}, "a", draining, true},
 		{"new instance", []cassiatally.InstanceReport{report("a", 5, 9, ready), report("b", 6, 1, ready)}, "b", ready, true},
-		{"late report of the one before", []cassiatally.InstanceReport{report("a", 5, 1, ready), report("b", 6, 1, ready), report("a", 5, 2, ready)}, "b", ready, false},
-		{"late report of one that was never known", []cassiatally.InstanceReport{report("b", 6, 1, ready), report("a", 5, 2, ready)}, "b", ready, false},
+		{"late report of the previous instance", []cassiatally.InstanceReport{report("a", 5, 1, ready), report("b", 6, 1, ready), report("a", 5, 2, ready)}, "b", ready, false},
+		{"late report of an instance that was never current", []cassiatally.InstanceReport{report("b", 6, 1, ready), report("a", 5, 2, ready)}, "b", ready, false},
 		{"same id starts again", []cassiatally.InstanceReport{report("a", 5, 9, draining), report("a", 7, 1, ready)}, "a", ready, true},
-		{"late report of the start before", []cassiatally.InstanceReport{report("a", 7, 1, ready), report("a", 5, 9, draining)}, "a", ready, false},
-		{"known by a health check only", []cassiatally.InstanceReport{report("a", 0, 0, ready), report("a", 5, 4, ready)}, "a", ready, true},
+		{"late report of the previous start", []cassiatally.InstanceReport{report("a", 7, 1, ready), report("a", 5, 9, draining)}, "a", ready, false},
+		{"first known from a health check only", []cassiatally.InstanceReport{report("a", 0, 0, ready), report("a", 5, 4, ready)}, "a", ready, true},
 		{"without service", []cassiatally.InstanceReport{report("a", 5, 1, ready), {Instance: "b", Born: 9, Sequence: 1, Address: "x", State: ready}}, "a", ready, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			tr := &instancetracker.Tracker{}
-			news := false
+			accepted := false
 			for _, r := range c.reports {
-				news = tr.Observe(0, r)
+				accepted = tr.Observe(0, r)
 			}
-			is.Equal(news, c.news)
+			is.Equal(accepted, c.accepted)
 			got, ok := tr.Current()
 			is.True(ok)
 			is.Equal(got.Instance, c.want)
@@ -57,8 +57,9 @@
 	}
 }
 
-// Guards against late reports of an instance that has said that it leaves.
-func TestLeft(t *testing.T) {
+// Guards against accepting late reports of an instance that has announced that it
+// leaves.
+func TestLateReportsAfterLeaveAreIgnored(t *testing.T) {
 	is := is.New(t)
 	tr := &instancetracker.Tracker{}
 	is.True(tr.Observe(0, report("a", 5, 1, ready)))
@@ -70,7 +71,7 @@
 	is.True(!tr.Observe(0, report("a", 5, 3, ready)))
 
 	restarted := &instancetracker.Tracker{}
-	is.True(!restarted.RecordLeave(0, "a")) // it was in place at an earlier start of the node
+	is.True(!restarted.RecordLeave(0, "a")) // it was current at an earlier start of the node
 	is.True(!restarted.Observe(0, report("a", 5, 3, ready)))
 	const later = cassiatally.Instant(time.Minute)
 	is.True(restarted.Observe(later, report("a", 9, 1, ready))) // it started again
