--- a/cassiatally/splitter/splitter_test.go
+++ b/cassiatally/splitter/splitter_test.go
@@ -15,8 +15,9 @@
 	return &cassiatally.Route{Name: "r", Services: []cassiatally.WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 }
 
-// Guards against shares that differ from the weights when each of many nodes sees
-// only a few requests, as a small part would get none of the first few.
+// Guards against shares that differ from the weights when each of many nodes
+// receives only a few requests: a service with a small weight would get none of the
+// first requests at any node.
 func TestSharesFollowWeights(t *testing.T) {
 	for _, requests := range []int{2, 5, 20} {
 		is := is.New(t)
@@ -35,9 +36,9 @@
 	}
 }
 
-// Guards against shares that start again with each version of the table, although
+// Guards against credits that are reset with each version of the table, although
 // the weights of the route stay the same.
-func TestVersionsGoOn(t *testing.T) {
+func TestNewTableWithSameWeightsKeepsCredits(t *testing.T) {
 	is := is.New(t)
 	s := splitter.New(rand.New(rand.NewPCG(1, 2)))
 	got := 0
@@ -50,7 +51,7 @@
 }
 
 // Guards against credits of earlier weights that outweigh new ones.
-func TestNewWeightsStartAgain(t *testing.T) {
+func TestNewWeightsResetCredits(t *testing.T) {
 	is := is.New(t)
 	s := splitter.New(rand.New(rand.NewPCG(1, 2)))
 	for range 9 {
