--- a/cassiatally/matcher/matcher.go
+++ b/cassiatally/matcher/matcher.go
@@ -1,5 +1,5 @@
 // Package matcher finds the route of a request: among the routes of its host, the
-// one with the longest prefix that begins its path.
+// one with the longest prefix of its path.
 //
 // # Usage
 //
@@ -21,7 +21,7 @@
 // Matcher finds routes in one version of the route table.
 type Matcher struct {
 	table cassiatally.RouteTable
-	// hosts has the routes of each host, the longest prefix first.
+	// hosts maps each host to its routes, with the longest prefix first.
 	hosts map[string][]*cassiatally.Route
 }
 
@@ -44,9 +44,9 @@
 // Table returns the table that the matcher was made for.
 func (m *Matcher) Table() *cassiatally.RouteTable { return &m.table }
 
-// Match returns the route of a request. The host may name a port.
+// Match returns the route of a request. The host may include a port.
 func (m *Matcher) Match(host, path string) (*cassiatally.Route, bool) {
-	for _, r := range m.hosts[bare(host)] {
+	for _, r := range m.hosts[normaliseHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -54,8 +54,8 @@
 	return nil, false
 }
 
-// bare returns a host name in lower case without its port.
-func bare(host string) string {
+// normaliseHost returns a host name in lower case without its port.
+func normaliseHost(host string) string {
 	if strings.Contains(host, ":") {
 		if h, _, err := net.SplitHostPort(host); err == nil {
 			host = h
--- a/cassiatally/matcher/matcher_test.go
+++ b/cassiatally/matcher/matcher_test.go
@@ -9,8 +9,8 @@
 	"github.com/cassiatally/cassiatally/cassiatally/matcher"
 )
 
-// Guards against a request that is served by a route of another host or by one
-// with a shorter prefix.
+// Guards against a request that matches a route of another host, or one with a
+// shorter prefix than another matching route.
 func TestMatch(t *testing.T) {
 	m := matcher.New(cassiatally.RouteTable{Routes: []cassiatally.Route{
 		{Name: "all", Host: "a.example", Prefix: "/"},
@@ -24,7 +24,7 @@
 	}{
 		{"longest prefix", "a.example", "/x/y/1", "long"},
 		{"shorter prefix", "a.example", "/x/z", "short"},
-		{"prefix without its slash", "a.example", "/x", "all"},
+		{"prefix without its final slash", "a.example", "/x", "all"},
 		{"host with a port", "a.example:80", "/x/1", "short"},
 		{"case of the host", "b.EXAMPLE", "/x/1", "other"},
 		{"no prefix", "b.example", "/y/", ""},
