--- a/cassiatally/fifo/fifo.go
+++ b/cassiatally/fifo/fifo.go
@@ -1,4 +1,4 @@
-// Package fifo provides the baseline admitter: a first-come queue without
+// Package fifo provides the baseline admitter: a first-in, first-out queue without
 // ranks, shares, deadlines or levels. It exists for comparison with the adaptive
 // admitter.
 //
@@ -15,13 +15,14 @@
 	"github.com/cassiatally/cassiatally/cassiatally"
 )
 
-// Queue starts calls in the order of their arrival. The zero value is unbounded.
+// Queue starts calls in order of arrival. The zero value is unbounded.
 type Queue struct {
-	// Capacity is the number of entries above which new ones are refused; 0 means
-	// no bound.
+	// Capacity is the number of entries at which new ones are refused; 0 means no
+	// bound.
 	Capacity int
 
-	// order holds ids in order of arrival; removed ids stay until they are reached.
+	// order holds ids in order of arrival. Removed ids stay in it until Next skips
+	// them.
 	order   []cassiatally.CallID
 	waiting map[cassiatally.CallID]struct{}
 }
@@ -41,7 +42,8 @@
 	return nil
 }
 
-// Next returns up to free entries in order of arrival. It drops none.
+// Next removes up to free entries in order of arrival and returns them. It drops
+// none.
 func (q *Queue) Next(_ cassiatally.Instant, free int) (start []cassiatally.CallID, dropped []cassiatally.Dropped) {
 	for len(q.order) > 0 && len(start) < free {
 		id := q.order[0]
@@ -53,20 +55,20 @@
 	return start, nil
 }
 
-// Remove takes an entry out of the queue.
+// Remove removes an entry from the queue and reports whether it was queued.
 func (q *Queue) Remove(id cassiatally.CallID) bool {
 	_, ok := q.waiting[id]
 	delete(q.waiting, id)
 	return ok
 }
 
-// Done does nothing; the baseline measures nothing.
+// Done does nothing, since the baseline keeps no measurements.
 func (q *Queue) Done(cassiatally.Instant, cassiatally.Rank, time.Duration) {}
 
-// Cut does nothing; the baseline measures nothing.
+// Cut does nothing, since the baseline keeps no measurements.
 func (q *Queue) Cut(cassiatally.Instant, cassiatally.Rank, time.Duration) {}
 
-// Tick does nothing; the levels of the baseline never change.
+// Tick does nothing, since the levels of the baseline never change.
 func (q *Queue) Tick(cassiatally.Instant, cassiatally.Concurrency) {}
 
 // Levels returns 1 for every rank.
--- a/cassiatally/fifo/fifo_test.go
+++ b/cassiatally/fifo/fifo_test.go
@@ -11,9 +11,9 @@
 
 func id(n uint64) cassiatally.CallID { return cassiatally.CallID{Origin: 1, Seq: n} }
 
-// Guards against a baseline that orders or drops by more than arrival, which would
-// make comparisons worthless.
-func TestFirstCome(t *testing.T) {
+// Guards against a baseline that uses ranks or deadlines to order or drop calls,
+// which would make comparisons meaningless.
+func TestOrderOfArrival(t *testing.T) {
 	is := is.New(t)
 	q := &fifo.Queue{Capacity: 3}
 	for n := range uint64(3) {
@@ -29,7 +29,7 @@
 	is.Equal(q.Len(), 0)
 }
 
-// Guards against a bound where none was asked for.
+// Guards against a bound when no capacity is set.
 func TestUnbounded(t *testing.T) {
 	is := is.New(t)
 	q := &fifo.Queue{}
