--- a/cassiatally/fixedlimiter/fixedlimiter.go
+++ b/cassiatally/fixedlimiter/fixedlimiter.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// Unlimited is the limit that is returned when no limit applies.
+	// Unlimited is the value of Limit when no limit applies.
 	Unlimited = cassiatally.Concurrency(math.MaxInt32)
-	// typicalWeight is the weight of one sample in the typical self time.
-	typicalWeight = 0.1
+	// ewmaWeight is the weight of one sample in the typical self time, an EWMA.
+	ewmaWeight = 0.1
 )
 
 // Limiter has a fixed limit. The zero value has no limit.
@@ -26,7 +26,7 @@
 	// Fixed is the limit; 0 means the announced slots if UseSlots is set, and no
 	// limit otherwise.
 	Fixed cassiatally.Concurrency
-	// UseSlots takes the announced slots as the limit when Fixed is 0.
+	// UseSlots makes the announced slots the limit when Fixed is 0.
 	UseSlots bool
 
 	slots   cassiatally.Concurrency
@@ -49,7 +49,7 @@
 // Resize records the announced slots.
 func (l *Limiter) Resize(_ cassiatally.Instant, slots cassiatally.Concurrency) { l.slots = slots }
 
-// Observe feeds the typical self time; it does not change the limit.
+// Observe updates the typical self time. It does not change the limit.
 func (l *Limiter) Observe(_ cassiatally.Instant, s cassiatally.RunSample) {
 	if s.Failed {
 		return
@@ -58,7 +58,7 @@
 		l.typical = s.Self
 		return
 	}
-	l.typical += time.Duration(typicalWeight * float64(s.Self-l.typical))
+	l.typical += time.Duration(ewmaWeight * float64(s.Self-l.typical))
 }
 
 // Typical returns the smoothed self time.
--- a/cassiatally/fixedlimiter/fixedlimiter_test.go
+++ b/cassiatally/fixedlimiter/fixedlimiter_test.go
@@ -10,8 +10,8 @@
 	"github.com/cassiatally/cassiatally/cassiatally/fixedlimiter"
 )
 
-// Guards against a baseline whose limit moves, which would make comparisons
-// worthless.
+// Guards against a baseline whose limit changes, which would make comparisons
+// meaningless.
 func TestLimitIsFixed(t *testing.T) {
 	cases := []struct {
 		name    string
