--- a/cassiatally/router/answer.go
+++ b/cassiatally/router/answer.go
@@ -7,7 +7,8 @@
 	"github.com/cassiatally/cassiatally/cassiatally/faultswitch"
 )
 
-// HandleAnswer takes an answer from a node.
+// HandleAnswer processes a node's answer to an attempt: it delivers the answer,
+// retries or redirects the request, or drops an answer that matches no attempt.
 func (r *Router) HandleAnswer(now cassiatally.Instant, from cassiatally.NodeID, a cassiatally.Answer) []cassiatally.Action {
 	p, ok := r.attempts[a.ID]
 	if !ok || p.target != from {
@@ -15,33 +16,33 @@
 		return nil
 	}
 	if a.Request != 0 && a.Request != p.tag && !faultswitch.Off(faultswitch.AnswerTag) {
-		// The own answer may still come; without it the call ends at its deadline.
+		// The answer to this call may still arrive; without it the call ends at its deadline.
 		r.counts.Foreign++
 		return nil
 	}
-	if hasBody(a) && cassiatally.DigestOf(a.Body) != a.Digest {
+	if sentWithBody(a) && cassiatally.DigestOf(a.Body) != a.Digest {
 		r.counts.Incomplete++
-		a = incomplete(a, p)
+		a = incompleteAnswer(a, p)
 	}
-	r.learn(now, p, a)
-	p.settle(a)
-	r.finishAttempt(now, p, cassiatally.CallResult{Took: now.Sub(p.sentAt), Failed: failedAt(a), Load: a.Endpoint})
+	r.recordLoads(now, p, a)
+	p.reclaimRetries(a)
+	r.finishAttempt(now, p, cassiatally.CallResult{Took: now.Sub(p.sentAt), Failed: isEndpointFailure(a), Load: a.Endpoint})
 	if a.Kind == cassiatally.KindNone {
-		r.cfg.Budget.Succeeded(now, p.pair())
+		r.cfg.Budget.Succeeded(now, p.servicePair())
 		return r.deliver(now, p, a)
 	}
-	if p.claim {
-		return r.claimAnswered(now, p, a)
+	if p.isClaim {
+		return r.handleClaimFailure(now, p, a)
 	}
-	return r.afterFailure(now, p, a)
+	return r.handleFailure(now, p, a)
 }
 
-// hasBody reports whether the answer has a body, or lost the one that it had.
-func hasBody(a cassiatally.Answer) bool {
+// sentWithBody reports whether the answer has a body or had one that was lost.
+func sentWithBody(a cassiatally.Answer) bool {
 	return len(a.Body) > 0 || a.Digest != cassiatally.Digest{}
 }
 
-func incomplete(a cassiatally.Answer, p *pending) cassiatally.Answer {
+func incompleteAnswer(a cassiatally.Answer, p *pending) cassiatally.Answer {
 	out := cassiatally.Answer{
 		ID:       a.ID,
 		Outcome:  a.Outcome,
@@ -56,27 +57,27 @@
 	return out
 }
 
-func (r *Router) learn(now cassiatally.Instant, p *pending, a cassiatally.Answer) {
+func (r *Router) recordLoads(now cassiatally.Instant, p *pending, a cassiatally.Answer) {
 	if len(a.Loads) > 0 {
 		r.cfg.Loads.Learn(now, p.req.Service, p.req.Work, a.Loads)
 	}
 }
 
-// settle takes back the retries that the call below did not spend.
-func (p *pending) settle(a cassiatally.Answer) {
-	spent := min(a.RetriesSpent, p.given)
-	p.left += p.given - spent
-	p.spent += spent
-	p.given = 0
+// reclaimRetries takes back the delegated retries that the call did not spend.
+func (p *pending) reclaimRetries(a cassiatally.Answer) {
+	spent := min(a.RetriesSpent, p.retriesDelegated)
+	p.retriesLeft += p.retriesDelegated - spent
+	p.retriesSpent += spent
+	p.retriesDelegated = 0
 }
 
-func (p *pending) pair() cassiatally.ServicePair {
+func (p *pending) servicePair() cassiatally.ServicePair {
 	return cassiatally.ServicePair{From: p.req.Parent, To: p.req.Service}
 }
 
-// failedAt reports whether an answer speaks against the endpoint's health.
+// isEndpointFailure reports whether an answer counts against the endpoint's health.
 // Refusals under load do not.
-func failedAt(a cassiatally.Answer) bool {
+func isEndpointFailure(a cassiatally.Answer) bool {
 	switch a.Kind {
 	case cassiatally.KindUnreachable, cassiatally.KindOutcomeUnknown, cassiatally.KindIncompleteAnswer, cassiatally.KindBackendRefused:
 		return true
@@ -87,41 +88,42 @@
 	}
 }
 
-// claimAnswered handles a failed answer of a holder. A node that does not hold
-// the shard any more is asked again once the shard table has changed.
-func (r *Router) claimAnswered(now cassiatally.Instant, p *pending, a cassiatally.Answer) []cassiatally.Action {
+// handleClaimFailure handles a failed answer to a claim. A claim that reached a node
+// which no longer holds the shard is sent again after a pause, to the holder by the
+// shard table of that time.
+func (r *Router) handleClaimFailure(now cassiatally.Instant, p *pending, a cassiatally.Answer) []cassiatally.Action {
 	if a.Kind == cassiatally.KindUnavailable && now.Add(claimRetryPause).Before(p.req.Deadline) {
 		if a.Outcome != cassiatally.OutcomeNotRun {
-			p.notFirst()
+			p.markResent()
 		}
-		return r.holdClaim(now, p)
+		return r.deferClaim(now, p)
 	}
 	return r.deliver(now, p, a)
 }
 
-func (r *Router) afterFailure(now cassiatally.Instant, p *pending, a cassiatally.Answer) []cassiatally.Action {
+func (r *Router) handleFailure(now cassiatally.Instant, p *pending, a cassiatally.Answer) []cassiatally.Action {
 	if a.Outcome != cassiatally.OutcomeNotRun {
 		p.mayHaveRun = true
 		p.sends++
 	}
-	p.lost = p.lost || lostEndpoint(a.Kind)
-	if (!r.mayRepeat(p, a) && !r.mayRedirect(p, a)) || now.Reached(p.req.Deadline) {
+	p.endpointLost = p.endpointLost || isEndpointLoss(a.Kind)
+	if (!r.mayRetry(p, a) && !r.mayRedirect(p, a)) || now.Reached(p.req.Deadline) {
 		return r.deliver(now, p, a)
 	}
 	if r.mayRedirect(p, a) {
 		p.avoid = append(p.avoid, a.Endpoint.Node)
 		return r.redirect(now, p)
 	}
-	if !r.takeRetry(now, p) {
+	if !r.spendRetry(now, p) {
 		return r.deliver(now, p, a)
 	}
 	p.avoid = append(p.avoid, a.Endpoint.Node)
 	return r.sendRun(now, p)
 }
 
-// mayRedirect reports whether a call that ran nothing goes to another endpoint
-// without a retry. One that was turned away for load does so once: endpoints differ
-// in speed and queue, but when two have no room, most have none.
+// mayRedirect reports whether a call that was not run may be sent to another endpoint
+// without a retry. A call refused under load is redirected at most LoadRedirects times:
+// endpoints differ in speed and queue, but when two have no room, most have none.
 func (r *Router) mayRedirect(p *pending, a cassiatally.Answer) bool {
 	if a.Outcome != cassiatally.OutcomeNotRun {
 		return false
@@ -136,37 +138,37 @@
 	}
 }
 
-// redirect sends a call that ran nothing to another endpoint.
+// redirect sends a call that was not run to another endpoint.
 func (r *Router) redirect(now cassiatally.Instant, p *pending) []cassiatally.Action {
 	p.redirects++
 	r.counts.Redirects++
 	return r.sendRun(now, p)
 }
 
-// holdRun keeps a call for which the only endpoint left is being dialled.
-func (r *Router) holdRun(now cassiatally.Instant, p *pending) []cassiatally.Action {
-	p.holds++
+// deferRun delays a call while its only remaining endpoint is being dialled.
+func (r *Router) deferRun(now cassiatally.Instant, p *pending) []cassiatally.Action {
+	p.deferrals++
 	p.waiting = true
 	p.avoid = nil
-	r.scheduleWake(p, now.Add(holdPause))
+	r.scheduleWake(p, now.Add(deferralPause))
 	return nil
 }
 
-// mayRepeat reports whether the request may be run by another endpoint. A
-// non-idempotent one may only when it is certain that it was not run.
-func (r *Router) mayRepeat(p *pending, a cassiatally.Answer) bool {
+// mayRetry reports whether another endpoint may run the request. A non-idempotent
+// request may be retried only when it is certain that it was not run.
+func (r *Router) mayRetry(p *pending, a cassiatally.Answer) bool {
 	if a.Outcome == cassiatally.OutcomeNotRun {
 		return a.Kind.Spec().Retryable
 	}
 	if !p.req.Policy.Idempotent {
 		return false
 	}
-	return lostEndpoint(a.Kind) || a.OwnFailure
+	return isEndpointLoss(a.Kind) || a.OwnFailure
 }
 
 // lostEndpoint reports whether a call failed because its endpoint, the node beside
 // it or the connection was lost.
-func lostEndpoint(k cassiatally.ErrorKind) bool {
+func isEndpointLoss(k cassiatally.ErrorKind) bool {
 	switch k {
 	case cassiatally.KindOutcomeUnknown, cassiatally.KindIncompleteAnswer, cassiatally.KindUnreachable:
 		return true
@@ -175,71 +177,73 @@
 	}
 }
 
-func (r *Router) takeRetry(now cassiatally.Instant, p *pending) bool {
-	if p.left == 0 || !r.sendsLeft(p, 0) || !r.budgetAllows(now, p) {
+func (r *Router) spendRetry(now cassiatally.Instant, p *pending) bool {
+	if p.retriesLeft == 0 || !r.hasSendsLeft(p, 0) || !r.takeBudgetToken(now, p) {
 		r.counts.RetriesDenied++
 		return false
 	}
-	p.left--
-	p.spent++
+	p.retriesLeft--
+	p.retriesSpent++
 	r.counts.Retries++
 	return true
 }
 
-// sendsLeft reports whether the request may be sent to one more endpoint, besides
-// those that an attempt in flight counts for.
-func (r *Router) sendsLeft(p *pending, inFlight int) bool {
+// hasSendsLeft reports whether the request may be sent to one more endpoint. inFlight
+// is the number of endpoints that have it now and are not yet in sends.
+func (r *Router) hasSendsLeft(p *pending, inFlight int) bool {
 	return p.req.Sends <= 0 || p.sends+inFlight < p.req.Sends
 }
 
-// budgetAllows takes a token of the service pair. A request that has lost an
-// endpoint stays one that has when the next endpoint refuses it.
-func (r *Router) budgetAllows(now cassiatally.Instant, p *pending) bool {
-	if p.lost && r.cfg.Budget.TakeLost(now, p.pair()) {
+// takeBudgetToken takes a token from the retry budget of the service pair. A request
+// that lost an endpoint keeps its right to the allowance for lost requests also when a
+// later endpoint refuses it.
+func (r *Router) takeBudgetToken(now cassiatally.Instant, p *pending) bool {
+	if p.endpointLost && r.cfg.Budget.TakeLost(now, p.servicePair()) {
 		return true
 	}
-	return r.cfg.Budget.Take(now, p.pair(), p.req.Policy.Rank, r.cfg.Loads.Level(now, p.req.Service, p.req.Policy.Rank))
+	return r.cfg.Budget.Take(now, p.servicePair(), p.req.Policy.Rank, r.cfg.Loads.Level(now, p.req.Service, p.req.Policy.Rank))
 }
 
-// LinkLost takes the loss of the link to a node. Idempotent calls are repeated
-// within the retry budget, claims are sent again, and all other calls are asked
-// about.
+// LinkLost handles the loss of the link to a node. Idempotent calls are retried
+// within the retry budget, claims are sent again, and for all other calls the outcome
+// is queried.
 func (r *Router) LinkLost(now cassiatally.Instant, peer cassiatally.NodeRef) []cassiatally.Action {
 	var actions []cassiatally.Action
 	for _, p := range r.attemptsTo(peer.Node) {
-		actions = append(actions, r.lost(now, p, peer)...)
+		actions = append(actions, r.handleLostAttempt(now, p, peer)...)
 	}
 	return actions
 }
 
-// LinkSilent takes that nothing is heard of a node to which a link is open. Idempotent
-// calls that were sent there go to another endpoint if the retry budget allows it;
-// the others wait on, since an answer may still come.
+// LinkSilent handles a node that sends nothing on an open link. Idempotent calls that
+// were sent there move to another endpoint if the retry budget allows it; the others
+// keep waiting, since an answer may still arrive.
 func (r *Router) LinkSilent(now cassiatally.Instant, peer cassiatally.NodeRef) []cassiatally.Action {
 	r.cfg.Balancer.Silent(now, peer.Node)
 	var actions []cassiatally.Action
 	for _, p := range r.attemptsTo(peer.Node) {
-		if !p.claim && p.req.Policy.Idempotent && r.sendsLeft(p, 1) && r.hasOther(now, p) && r.takeRetry(now, p) {
-			actions = append(actions, r.leaveSilent(now, p)...)
+		if !p.isClaim && p.req.Policy.Idempotent && r.hasSendsLeft(p, 1) && r.hasOtherEndpoint(now, p) && r.spendRetry(now, p) {
+			actions = append(actions, r.resendFromSilent(now, p)...)
 		}
 	}
 	return actions
 }
 
-// hasOther reports whether an endpoint is left that a call was not sent to.
-func (r *Router) hasOther(now cassiatally.Instant, p *pending) bool {
+// hasOtherEndpoint reports whether there is an endpoint that the request was not sent
+// to.
+func (r *Router) hasOtherEndpoint(now cassiatally.Instant, p *pending) bool {
 	_, ok := r.cfg.Balancer.Choose(now, p.req.Service, append(slices.Clone(p.avoid), p.target))
 	return ok
 }
 
-// leaveSilent sends a call to another endpoint than the silent one that has it.
-func (r *Router) leaveSilent(now cassiatally.Instant, p *pending) []cassiatally.Action {
+// resendFromSilent sends a call to another endpoint and cancels it at the silent one.
+func (r *Router) resendFromSilent(now cassiatally.Instant, p *pending) []cassiatally.Action {
 	silent, attempt := p.target, p.attempt
-	p.spent += p.given
-	p.given = 0
+	p.retriesSpent += p.retriesDelegated
+	p.retriesDelegated = 0
 	p.mayHaveRun = true
 	p.sends++
-	p.lost = true
+	p.endpointLost = true
 	p.avoid = append(p.avoid, silent)
 	r.finishAttempt(now, p, cassiatally.CallResult{Took: now.Sub(p.sentAt), Failed: true, Unreached: true})
 	cancel := cassiatally.Send{To: silent, Message: cassiatally.Cancel{ID: attempt}}
@@ -256,48 +260,48 @@
 	return out
 }
 
-func (r *Router) lost(now cassiatally.Instant, p *pending, peer cassiatally.NodeRef) []cassiatally.Action {
+func (r *Router) handleLostAttempt(now cassiatally.Instant, p *pending, peer cassiatally.NodeRef) []cassiatally.Action {
 	switch {
-	case p.claim:
+	case p.isClaim:
 		r.finishAttempt(now, p, cassiatally.CallResult{Failed: true})
-		// The holder may have given the retries away; they count as spent.
-		p.spent += p.given
-		p.given = 0
-		p.notFirst()
-		return r.holdClaim(now, p)
+		// The holder may have delegated the retries further; they count as spent.
+		p.retriesSpent += p.retriesDelegated
+		p.retriesDelegated = 0
+		p.markResent()
+		return r.deferClaim(now, p)
 	case p.req.Policy.Idempotent:
 		target := p.target
-		p.spent += p.given
-		p.given = 0
+		p.retriesSpent += p.retriesDelegated
+		p.retriesDelegated = 0
 		r.finishAttempt(now, p, cassiatally.CallResult{Took: now.Sub(p.sentAt), Failed: true, Unreached: true})
-		a := unresolved(cassiatally.KindOutcomeUnknown, "the connection to the backend server's node was lost")
+		a := unknownOutcome(cassiatally.KindOutcomeUnknown, "the connection to the backend server's node was lost")
 		a.Endpoint.Node = target
-		return r.afterFailure(now, p, a)
+		return r.handleFailure(now, p, a)
 	case faultswitch.Off(faultswitch.RunQuery):
 		r.finishAttempt(now, p, cassiatally.CallResult{Took: now.Sub(p.sentAt), Failed: true})
 		return r.deliver(now, p, refusal(cassiatally.KindUnreachable, "the connection to the node was lost"))
 	default:
 		p.querying = true
-		p.lostAt = peer.Incarnation
-		return r.query(now, p)
+		p.queriedIncarnation = peer.Incarnation
+		return r.queryRun(now, p)
 	}
 }
 
-// notFirst records that an earlier copy of the claim may have arrived, so that
-// the attempt number no longer proves that no other copy exists.
-func (p *pending) notFirst() { p.req.Attempt = max(p.req.Attempt, 1) + 1 }
+// markResent records that an earlier copy of the claim may have arrived: the attempt
+// number then no longer shows that this is the only copy.
+func (p *pending) markResent() { p.req.Attempt = max(p.req.Attempt, 1) + 1 }
 
-// query asks the node that had the call what became of it.
-func (r *Router) query(now cassiatally.Instant, p *pending) []cassiatally.Action {
+// queryRun queries the outcome of a call at the node that it was sent to.
+func (r *Router) queryRun(now cassiatally.Instant, p *pending) []cassiatally.Action {
 	r.counts.Queries++
 	r.scheduleWake(p, now.Add(queryPause))
 	return []cassiatally.Action{cassiatally.Send{
 		To:      p.target,
-		Message: cassiatally.RunQuery{ID: p.attempt, Target: p.lostAt, Request: p.tag},
+		Message: cassiatally.RunQuery{ID: p.attempt, Target: p.queriedIncarnation, Request: p.tag},
 	}}
 }
 
-// SendFailed takes a message that was certainly not delivered.
+// SendFailed handles a message that was certainly not delivered.
 func (r *Router) SendFailed(now cassiatally.Instant, to cassiatally.NodeID, m cassiatally.Message) []cassiatally.Action {
 	call, ok := m.(cassiatally.Call)
 	if !ok {
@@ -307,21 +311,21 @@
 	if !ok || p.target != to || p.querying {
 		return nil
 	}
-	p.left += p.given
-	p.given = 0
+	p.retriesLeft += p.retriesDelegated
+	p.retriesDelegated = 0
 	r.finishAttempt(now, p, cassiatally.CallResult{Took: now.Sub(p.sentAt), Failed: true, Unreached: true})
-	if p.claim {
-		return r.holdClaim(now, p)
+	if p.isClaim {
+		return r.deferClaim(now, p)
 	}
 	p.avoid = append(p.avoid, to)
 	switch _, other := r.cfg.Balancer.Choose(now, p.req.Service, p.avoid); {
 	case now.Reached(p.req.Deadline):
 	case other && p.redirects < maxRedirects:
 		return r.redirect(now, p)
-	case !other && p.holds < maxHolds:
-		return r.holdRun(now, p)
+	case !other && p.deferrals < maxDeferrals:
+		return r.deferRun(now, p)
 	}
 	a := refusal(cassiatally.KindUnreachable, "the node of the backend server cannot be reached")
 	a.Endpoint.Node = to
-	return r.afterFailure(now, p, a)
+	return r.handleFailure(now, p, a)
 }
--- a/cassiatally/router/router.go
+++ b/cassiatally/router/router.go
@@ -1,6 +1,6 @@
-// Package router decides over the calls that a node sends on: which endpoint runs
-// a request, whether a refused or lost call is tried again, and what the caller is
-// told.
+// Package router routes the requests of a node: it chooses the endpoint that runs a
+// request, decides whether a refused or lost call is retried, and determines the
+// answer to the caller.
 //
 // A Router is a state machine without goroutines or timers. The dispatcher duty
 // owns it and carries out the actions that it returns.
@@ -28,29 +28,30 @@
 )
 
 const (
-	// answerGrace is how long an answer may still be on its way after the deadline.
-	// Within it the node that has the call says what became of it.
+	// answerGrace is how long after the deadline an answer may still arrive. The node
+	// that has the call reports its outcome within this time.
 	answerGrace = 50 * time.Millisecond
 	// claimRetryPause is the pause before a claim is sent to the holder again.
 	claimRetryPause = 100 * time.Millisecond
-	// queryPause is the pause before a lost run is asked about again.
+	// queryPause is the pause before the outcome of a call whose link was lost is
+	// queried again.
 	queryPause = 200 * time.Millisecond
-	// maxRedirects bounds how often a call moves on from endpoints that are leaving
-	// or out of reach. Such a call ran nothing and spends no retry.
+	// maxRedirects bounds the redirects of a call away from endpoints that are draining
+	// or unreachable. Such a call was not run and spends no retry.
 	maxRedirects = 3
-	// holdPause is the pause before a call goes again to the only endpoint left, which
-	// could not be reached, and maxHolds bounds the pauses. A node that answers again is
-	// dialled within them.
-	holdPause = 50 * time.Millisecond
-	maxHolds  = 4
-	// comeBackPart is the part of the time left within which callers come back after a
-	// refusal, and leastComeBack the part of that before which none does. Callers come
-	// back spread over that time, so that they don't meet again.
-	comeBackPart  = 1.0 / 3
-	leastComeBack = 0.3
+	// deferralPause is the pause before a call is sent again to its only remaining
+	// endpoint, which was unreachable; maxDeferrals bounds the pauses. A node that is
+	// reachable again is connected within them.
+	deferralPause = 50 * time.Millisecond
+	maxDeferrals  = 4
+	// A refused caller is told to retry within retryAfterFraction of the time to its
+	// deadline, and no earlier than minRetryAfterFraction of that. Retries are spread
+	// over the interval, so that refused callers do not return all at once.
+	retryAfterFraction    = 1.0 / 3
+	minRetryAfterFraction = 0.3
 )
 
-// Config holds what a router works with.
+// Config holds the identity, policies and sources that a router works with.
 type Config struct {
 	Self     cassiatally.NodeRef
 	Balancer cassiatally.Balancer
@@ -58,12 +59,12 @@
 	Loads    cassiatally.LoadTracker
 	Shards   func() cassiatally.ShardView
 	NextID   func() cassiatally.CallID
-	// LoadRedirects bounds how often a call moves on, without a retry, from endpoints
-	// that have no room for it.
+	// LoadRedirects bounds the redirects of a call, without a retry, away from endpoints
+	// that refused it under load.
 	LoadRedirects int
 }
 
-// Counts are the totals that operators watch.
+// Counts are totals since the start of the router, for operators.
 type Counts struct {
 	RefusedAtEntry uint64
 	Retries        uint64
@@ -75,7 +76,7 @@
 	Queries        uint64
 }
 
-// Router owns the calls that this node sends on.
+// Router owns the requests that this node has submitted and not yet answered.
 type Router struct {
 	cfg      Config
 	pending  map[cassiatally.CallID]*pending
@@ -84,35 +85,35 @@
 	counts   Counts
 }
 
+// pending is a request without a final answer and its current attempt.
 type pending struct {
-	req      cassiatally.Request
-	attempt  cassiatally.CallID
-	tag      cassiatally.RequestTag
-	target   cassiatally.NodeID
-	lostAt   cassiatally.Incarnation
-	claim    bool
-	querying bool
-	waiting  bool
-	// mayHaveRun tells that an earlier attempt may have been run, so that a refusal
-	// of a later one does not prove that the request was not.
+	req                cassiatally.Request
+	attempt            cassiatally.CallID
+	tag                cassiatally.RequestTag
+	target             cassiatally.NodeID
+	queriedIncarnation cassiatally.Incarnation
+	isClaim            bool
+	querying           bool
+	waiting            bool
+	// mayHaveRun is set when an earlier attempt may have been run, so that a refusal of
+	// a later one does not prove that the request was not run.
 	mayHaveRun bool
-	// lost tells that an attempt failed because its endpoint was lost.
-	lost      bool
-	done      bool
-	sentAt    cassiatally.Instant
-	given     cassiatally.RetryCount
-	left      cassiatally.RetryCount
-	spent     cassiatally.RetryCount
-	redirects int
-	// holds counts the pauses in which the only endpoint left was dialled.
-	holds int
-	// sends counts the endpoints that the request was sent to and that may have run
-	// it.
+	// endpointLost is set when an attempt failed because its endpoint was lost.
+	endpointLost     bool
+	done             bool
+	sentAt           cassiatally.Instant
+	retriesDelegated cassiatally.RetryCount
+	retriesLeft      cassiatally.RetryCount
+	retriesSpent     cassiatally.RetryCount
+	redirects        int
+	// deferrals counts the pauses in which the only remaining endpoint was dialled.
+	deferrals int
+	// sends counts the endpoints that received the request and may have run it.
 	sends int
 	avoid []cassiatally.NodeID
 }
 
-// New returns a router without calls.
+// New returns a router without pending requests.
 func New(cfg Config) *Router {
 	return &Router{
 		cfg:      cfg,
@@ -124,41 +125,43 @@
 // Counts returns the totals so far.
 func (r *Router) Counts() Counts { return r.counts }
 
-// InFlight returns the number of calls that wait for an answer.
+// InFlight returns the number of requests without a final answer.
 func (r *Router) InFlight() int { return len(r.pending) }
 
-// Submit takes a request of a caller, of a backend server, or of a claimed key.
+// Submit routes a request: a caller's, an onward call of a backend server, or the
+// run of a claimed key.
 func (r *Router) Submit(now cassiatally.Instant, req cassiatally.Request) []cassiatally.Action {
-	p := &pending{req: req, left: req.Retries, claim: req.Key != "" && !faultswitch.Off(faultswitch.Claims)}
+	p := &pending{req: req, retriesLeft: req.Retries, isClaim: req.Key != "" && !faultswitch.Off(faultswitch.Claims)}
 	if now.Reached(req.Deadline) {
-		return r.deliverUnsent(p, p.tooLate())
+		return r.deliverAction(p, p.pastDeadlineAnswer())
 	}
 	if a, refused := r.refuseAtEntry(now, p); refused {
-		return r.deliverUnsent(p, a)
+		return r.deliverAction(p, a)
 	}
 	r.pending[req.ID] = p
-	r.cfg.Budget.Requested(now, p.pair(), req.Repeated)
+	r.cfg.Budget.Requested(now, p.servicePair(), req.Repeated)
 	r.scheduleWake(p, req.Deadline.Add(answerGrace))
-	if p.claim {
+	if p.isClaim {
 		return r.sendClaim(now, p)
 	}
 	return r.sendRun(now, p)
 }
 
-// tooLate is the answer to a request that arrives after its deadline. Earlier
-// copies of a re-sent claim may have run.
-func (p *pending) tooLate() cassiatally.Answer {
+// pastDeadlineAnswer is the answer to a request that arrives after its deadline.
+// Earlier copies of a re-sent claim may have run.
+func (p *pending) pastDeadlineAnswer() cassiatally.Answer {
 	const detail = "the deadline has passed"
-	if p.claim && p.req.Attempt != 1 {
-		return unresolved(cassiatally.KindExpired, detail)
+	if p.isClaim && p.req.Attempt != 1 {
+		return unknownOutcome(cassiatally.KindExpired, detail)
 	}
 	return refusal(cassiatally.KindExpired, detail)
 }
 
-// refuseAtEntry refuses a root request that its call chain cannot finish. A
-// re-sent claim is passed on, since only the holder knows about earlier copies.
+// refuseAtEntry refuses a root request whose call chain lacks the capacity to finish
+// it. A re-sent claim is never refused here, since only the holder has the records of
+// earlier copies.
 func (r *Router) refuseAtEntry(now cassiatally.Instant, p *pending) (cassiatally.Answer, bool) {
-	if p.req.Parent != "" || (p.claim && p.req.Attempt != 1) {
+	if p.req.Parent != "" || (p.isClaim && p.req.Attempt != 1) {
 		return cassiatally.Answer{}, false
 	}
 	ok, short := r.cfg.Loads.Admit(now, p.req.Service, p.req.Work, p.req.Policy.Rank, p.req.Order)
@@ -167,7 +170,7 @@
 	}
 	r.counts.RefusedAtEntry++
 	a := refusal(cassiatally.KindOverloaded, "capacity of "+string(short)+" is short; send again later")
-	a.RetryAfter = p.comeBack(now)
+	a.RetryAfter = p.retryAfter(now)
 	return a, true
 }
 
@@ -177,13 +180,13 @@
 		n, ok = r.cfg.Balancer.Choose(now, p.req.Service, nil)
 	}
 	if !ok {
-		return r.deliver(now, p, r.noEndpoint(p))
+		return r.deliver(now, p, r.noEndpointAnswer(p))
 	}
 	r.cfg.Balancer.Started(now, n)
 	return r.send(now, p, n, cassiatally.StageRun)
 }
 
-func (r *Router) noEndpoint(p *pending) cassiatally.Answer {
+func (r *Router) noEndpointAnswer(p *pending) cassiatally.Answer {
 	if r.cfg.Balancer.Known(p.req.Service) {
 		return refusal(cassiatally.KindNoBackend, "no backend server of "+string(p.req.Service)+" takes work; send again later")
 	}
@@ -193,7 +196,7 @@
 func (r *Router) sendClaim(now cassiatally.Instant, p *pending) []cassiatally.Action {
 	holder, ok := r.holderOf(p.req.Key)
 	if !ok {
-		return r.holdClaim(now, p)
+		return r.deferClaim(now, p)
 	}
 	return r.send(now, p, holder, cassiatally.StageClaim)
 }
@@ -207,9 +210,9 @@
 	return holder.Node, ok
 }
 
-// holdClaim waits for a holder of the key's shard. A claim may be sent to any
-// number of holders, since a key is run once.
-func (r *Router) holdClaim(now cassiatally.Instant, p *pending) []cassiatally.Action {
+// deferClaim schedules the next attempt to reach the holder of the key's shard. A
+// claim may be sent to any number of holders, since a key is run once.
+func (r *Router) deferClaim(now cassiatally.Instant, p *pending) []cassiatally.Action {
 	p.waiting = true
 	r.scheduleWake(p, now.Add(claimRetryPause))
 	return nil
@@ -224,21 +227,21 @@
 	p.sentAt = now
 	p.waiting = false
 	p.querying = false
-	// Half of the retries, rounded down, stay with this layer. What was given away
-	// counts as spent until the answer returns it, so that the total is bounded
-	// also when answers are lost.
-	p.given = p.left / 2
-	if p.claim {
-		p.given = p.left
+	// Half of the retries, rounded down, are delegated to the call; this layer keeps
+	// the rest. Delegated retries count as spent until the answer returns them, so that
+	// the total is bounded also when answers are lost.
+	p.retriesDelegated = p.retriesLeft / 2
+	if p.isClaim {
+		p.retriesDelegated = p.retriesLeft
 	}
-	p.left -= p.given
+	p.retriesLeft -= p.retriesDelegated
 	r.attempts[p.attempt] = p
-	call := r.call(now, p, stage)
+	call := r.newCall(now, p, stage)
 	p.tag = call.Tag()
 	return []cassiatally.Action{cassiatally.Send{To: to, Message: call}}
 }
 
-func (r *Router) call(now cassiatally.Instant, p *pending, stage cassiatally.Stage) cassiatally.Call {
+func (r *Router) newCall(now cassiatally.Instant, p *pending, stage cassiatally.Stage) cassiatally.Call {
 	return cassiatally.Call{
 		ID:         p.attempt,
 		Stage:      stage,
@@ -251,7 +254,7 @@
 		Idempotent: p.req.Policy.Idempotent,
 		Key:        p.req.Key,
 		Remaining:  p.req.Deadline.Sub(now),
-		Retries:    p.given,
+		Retries:    p.retriesDelegated,
 		Depth:      p.req.Depth,
 		Attempt:    p.req.Attempt,
 		Head:       p.req.Head,
@@ -263,7 +266,8 @@
 	}
 }
 
-// Cancel drops a request for which nobody waits any more.
+// Cancel drops a request whose submitter no longer waits for the answer, and cancels
+// its attempt.
 func (r *Router) Cancel(now cassiatally.Instant, id cassiatally.CallID) []cassiatally.Action {
 	p, ok := r.pending[id]
 	if !ok {
@@ -278,7 +282,7 @@
 	return []cassiatally.Action{cassiatally.Send{To: target, Message: cassiatally.Cancel{ID: attempt}}}
 }
 
-// Tick handles the calls whose wake time has come.
+// Tick processes the timers that are due.
 func (r *Router) Tick(now cassiatally.Instant) []cassiatally.Action {
 	var actions []cassiatally.Action
 	for len(r.wakes) > 0 && now.Reached(r.wakes[0].at) {
@@ -291,7 +295,7 @@
 	return actions
 }
 
-// NextWake returns when Tick has to be called next.
+// NextWake returns when the next timer is due, if there is one.
 func (r *Router) NextWake() (cassiatally.Instant, bool) {
 	if len(r.wakes) == 0 {
 		return 0, false
@@ -304,19 +308,19 @@
 		return r.expire(now, p)
 	}
 	switch {
-	case p.waiting && p.claim:
+	case p.waiting && p.isClaim:
 		return r.sendClaim(now, p)
 	case p.waiting:
 		return r.sendRun(now, p)
 	case p.querying:
-		return r.query(now, p)
+		return r.queryRun(now, p)
 	default:
 		return nil
 	}
 }
 
 func (r *Router) expire(now cassiatally.Instant, p *pending) []cassiatally.Action {
-	answer := p.expiry()
+	answer := p.expiryAnswer()
 	var actions []cassiatally.Action
 	if p.target != "" {
 		actions = append(actions, cassiatally.Send{To: p.target, Message: cassiatally.Cancel{ID: p.attempt}})
@@ -325,24 +329,24 @@
 	return append(actions, r.deliver(now, p, answer)...)
 }
 
-// expiry is the answer when the deadline passes without one.
-func (p *pending) expiry() cassiatally.Answer {
+// expiryAnswer is the answer to a request whose deadline passed without one.
+func (p *pending) expiryAnswer() cassiatally.Answer {
 	switch {
-	case p.target == "" && p.claim && p.req.Attempt != 1 && !faultswitch.Off(faultswitch.ClaimUnresolved):
-		return unresolved(cassiatally.KindUnavailable, "no holder of the key's shard is in reach; look the key up later")
-	case p.target == "" && p.claim:
+	case p.target == "" && p.isClaim && p.req.Attempt != 1 && !faultswitch.Off(faultswitch.ClaimUnresolved):
+		return unknownOutcome(cassiatally.KindUnavailable, "no holder of the key's shard is in reach; look the key up later")
+	case p.target == "" && p.isClaim:
 		return refusal(cassiatally.KindUnavailable, "no holder of the key's shard is in reach; send again later")
 	case p.target == "":
 		return refusal(cassiatally.KindUnreachable, "no node of a backend server could be reached")
-	case p.claim || !p.req.Policy.Idempotent:
-		return unresolved(cassiatally.KindOutcomeUnknown, "the deadline passed before an answer came; look the key up")
+	case p.isClaim || !p.req.Policy.Idempotent:
+		return unknownOutcome(cassiatally.KindOutcomeUnknown, "the deadline passed before an answer came; look the key up")
 	default:
-		return unresolved(cassiatally.KindExpired, "the deadline passed before an answer came")
+		return unknownOutcome(cassiatally.KindExpired, "the deadline passed before an answer came")
 	}
 }
 
 func (r *Router) finishAttempt(now cassiatally.Instant, p *pending, res cassiatally.CallResult) {
-	if p.target != "" && !p.claim {
+	if p.target != "" && !p.isClaim {
 		r.cfg.Balancer.Finished(now, p.target, res)
 	}
 	delete(r.attempts, p.attempt)
@@ -361,20 +365,21 @@
 		a.Outcome = cassiatally.OutcomeUnknown
 	}
 	if a.Outcome == cassiatally.OutcomeNotRun && a.RetryAfter == 0 {
-		a.RetryAfter = p.comeBack(now)
+		a.RetryAfter = p.retryAfter(now)
 	}
-	return r.deliverUnsent(p, a)
+	return r.deliverAction(p, a)
 }
 
-// comeBack returns when the caller of a refused request should send it again.
-func (p *pending) comeBack(now cassiatally.Instant) time.Duration {
-	most := float64(p.req.Deadline.Sub(now)) * comeBackPart
-	return time.Duration(max(most, 0) * (leastComeBack + (1-leastComeBack)*float64(p.req.Order)))
+// retryAfter returns the pause after which the caller of a refused request should
+// send it again.
+func (p *pending) retryAfter(now cassiatally.Instant) time.Duration {
+	most := float64(p.req.Deadline.Sub(now)) * retryAfterFraction
+	return time.Duration(max(most, 0) * (minRetryAfterFraction + (1-minRetryAfterFraction)*float64(p.req.Order)))
 }
 
-func (r *Router) deliverUnsent(p *pending, a cassiatally.Answer) []cassiatally.Action {
+func (r *Router) deliverAction(p *pending, a cassiatally.Answer) []cassiatally.Action {
 	a.ID = p.req.ID
-	a.RetriesSpent = p.spent
+	a.RetriesSpent = p.retriesSpent
 	return []cassiatally.Action{cassiatally.Deliver{Call: p.req.ID, Answer: a}}
 }
 
@@ -386,10 +391,11 @@
 	return cassiatally.Answer{Outcome: cassiatally.OutcomeNotRun, Kind: kind, Detail: detail}
 }
 
-func unresolved(kind cassiatally.ErrorKind, detail string) cassiatally.Answer {
+func unknownOutcome(kind cassiatally.ErrorKind, detail string) cassiatally.Answer {
 	return cassiatally.Answer{Outcome: cassiatally.OutcomeUnknown, Kind: kind, Detail: detail}
 }
 
+// wake is a timer of a pending request.
 type wake struct {
 	at cassiatally.Instant
 	p  *pending
--- a/cassiatally/router/router_test.go
+++ b/cassiatally/router/router_test.go
@@ -15,7 +15,7 @@
 	self  = cassiatally.NodeID("entry")
 )
 
-// listBalancer chooses the first node that is not avoided.
+// listBalancer chooses the first node that is not in the list of nodes to avoid.
 type listBalancer struct{ nodes, silent []cassiatally.NodeID }
 
 func (b *listBalancer) Silent(_ cassiatally.Instant, n cassiatally.NodeID) {
@@ -42,30 +42,31 @@
 	return "", false
 }
 
-// openBudget denies retries, but for those of lost requests if lost is set.
-type openBudget struct{ denied, lost bool }
+// stubBudget allows all retries. With denied set it allows only those of lost
+// requests, and these only with lost set.
+type stubBudget struct{ denied, lostAllowed bool }
 
-func (b openBudget) Take(cassiatally.Instant, cassiatally.ServicePair, cassiatally.Rank, cassiatally.Level) bool {
+func (b stubBudget) Take(cassiatally.Instant, cassiatally.ServicePair, cassiatally.Rank, cassiatally.Level) bool {
 	return !b.denied
 }
 
-func (b openBudget) TakeLost(cassiatally.Instant, cassiatally.ServicePair) bool {
-	return b.lost
+func (b stubBudget) TakeLost(cassiatally.Instant, cassiatally.ServicePair) bool {
+	return b.lostAllowed
 }
-func (b openBudget) Requested(cassiatally.Instant, cassiatally.ServicePair, bool) {}
+func (b stubBudget) Requested(cassiatally.Instant, cassiatally.ServicePair, bool) {}
 
-func (b openBudget) Succeeded(cassiatally.Instant, cassiatally.ServicePair) {}
+func (b stubBudget) Succeeded(cassiatally.Instant, cassiatally.ServicePair) {}
 
-type fixedLoads struct{ short bool }
+type stubLoads struct{ short bool }
 
-func (l fixedLoads) Learn(cassiatally.Instant, cassiatally.Service, cassiatally.WorkKind, []cassiatally.ServiceLoad) {
+func (l stubLoads) Learn(cassiatally.Instant, cassiatally.Service, cassiatally.WorkKind, []cassiatally.ServiceLoad) {
 }
-func (l fixedLoads) Observe(cassiatally.Instant, cassiatally.NodeID, cassiatally.ServiceLoad) {}
-func (l fixedLoads) Admit(cassiatally.Instant, cassiatally.Service, cassiatally.WorkKind, cassiatally.Rank, cassiatally.Order) (bool, cassiatally.Service) {
+func (l stubLoads) Observe(cassiatally.Instant, cassiatally.NodeID, cassiatally.ServiceLoad) {}
+func (l stubLoads) Admit(cassiatally.Instant, cassiatally.Service, cassiatally.WorkKind, cassiatally.Rank, cassiatally.Order) (bool, cassiatally.Service) {
 	return !l.short, "avail-svc"
 }
 
-func (l fixedLoads) Level(cassiatally.Instant, cassiatally.Service, cassiatally.Rank) cassiatally.Level {
+func (l stubLoads) Level(cassiatally.Instant, cassiatally.Service, cassiatally.Rank) cassiatally.Level {
 	return 1
 }
 
@@ -113,7 +114,7 @@
 	}
 }
 
-// sent returns the only Call among the actions and where it goes.
+// sent returns the only Call among the actions and its receiver.
 func sent(t *testing.T, actions []cassiatally.Action) (cassiatally.NodeID, cassiatally.Call) {
 	t.Helper()
 	for _, a := range actions {
@@ -138,9 +139,9 @@
 	return cassiatally.Answer{}
 }
 
-// Guards against a second run of a non-idempotent request: only a refusal that
-// states that nothing was run may be repeated.
-func TestRepeatAfterFailure(t *testing.T) {
+// Guards against a second run of a non-idempotent request: it may be retried only
+// after a refusal that states that it was not run.
+func TestRetryAfterFailure(t *testing.T) {
 	cases := []struct {
 		name       string
 		idempotent bool
@@ -150,9 +151,9 @@
 	}{
 		{"idempotent refused by an overloaded endpoint", true, cassiatally.OutcomeNotRun, cassiatally.KindOverloaded, true},
 		{"non-idempotent refused by an overloaded endpoint", false, cassiatally.OutcomeNotRun, cassiatally.KindOverloaded, true},
-		{"non-idempotent refused by a leaving endpoint", false, cassiatally.OutcomeNotRun, cassiatally.KindDraining, true},
-		{"idempotent broken off", true, cassiatally.OutcomeUnknown, cassiatally.KindOutcomeUnknown, true},
-		{"non-idempotent broken off", false, cassiatally.OutcomeUnknown, cassiatally.KindOutcomeUnknown, false},
+		{"non-idempotent refused by a draining endpoint", false, cassiatally.OutcomeNotRun, cassiatally.KindDraining, true},
+		{"idempotent with a lost connection", true, cassiatally.OutcomeUnknown, cassiatally.KindOutcomeUnknown, true},
+		{"non-idempotent with a lost connection", false, cassiatally.OutcomeUnknown, cassiatally.KindOutcomeUnknown, false},
 		{"idempotent failed by the backend server", true, cassiatally.OutcomeRan, cassiatally.KindBackendFailed, false},
 		{"quarantined", true, cassiatally.OutcomeNotRun, cassiatally.KindQuarantined, false},
 		{"expired while it ran", true, cassiatally.OutcomeUnknown, cassiatally.KindExpired, false},
@@ -160,7 +161,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			h := newHarness([]cassiatally.NodeID{"a", "b"}, openBudget{}, fixedLoads{})
+			h := newHarness([]cassiatally.NodeID{"a", "b"}, stubBudget{}, stubLoads{})
 			to, call := sent(t, h.Submit(start, request(c.idempotent)))
 			answer := cassiatally.Answer{ID: call.ID, Outcome: c.outcome, Kind: c.kind, Endpoint: cassiatally.EndpointLoad{Node: to}}
 			actions := h.HandleAnswer(start, to, answer)
@@ -175,11 +176,11 @@
 	}
 }
 
-// Guards against retries that multiply: all refusals together cost no more than
-// the budget of the root request.
+// Guards against retries that multiply along the call chain: all retries after
+// refusals together must stay within the budget of the root request.
 func TestRetriesStayWithinTheRootBudget(t *testing.T) {
 	is := is.New(t)
-	h := newHarness([]cassiatally.NodeID{"a", "b", "c", "d", "e"}, openBudget{}, fixedLoads{})
+	h := newHarness([]cassiatally.NodeID{"a", "b", "c", "d", "e"}, stubBudget{}, stubLoads{})
 	actions := h.Submit(start, request(true))
 	calls := 0
 	for {
@@ -188,7 +189,7 @@
 		}
 		to, call := sent(t, actions)
 		calls++
-		is.True(int(call.Retries)+calls-1 <= 2) // given away plus spent
+		is.True(int(call.Retries)+calls-1 <= 2) // delegated plus spent
 		actions = h.HandleAnswer(start, to, cassiatally.Answer{
 			ID: call.ID, Outcome: cassiatally.OutcomeNotRun, Kind: cassiatally.KindOverloaded, Endpoint: cassiatally.EndpointLoad{Node: to},
 		})
@@ -200,17 +201,17 @@
 // Guards against retries while the service pair's budget is empty.
 func TestEmptyPairBudgetStopsRetries(t *testing.T) {
 	is := is.New(t)
-	h := newHarness([]cassiatally.NodeID{"a", "b"}, openBudget{denied: true}, fixedLoads{})
+	h := newHarness([]cassiatally.NodeID{"a", "b"}, stubBudget{denied: true}, stubLoads{})
 	to, call := sent(t, h.Submit(start, request(true)))
 	actions := h.HandleAnswer(start, to, cassiatally.Answer{ID: call.ID, Outcome: cassiatally.OutcomeNotRun, Kind: cassiatally.KindOverloaded})
 	is.Equal(delivered(t, actions).Kind, cassiatally.KindOverloaded)
 	is.Equal(h.Counts().RetriesDenied, uint64(1))
 }
 
-// Guards against callers that are told unknown because their endpoint was lost
-// while the service is short, and against refused requests that use the allowance
+// Guards against the answer "unknown" for a request whose endpoint was lost while the
+// service is short of capacity, and against refused requests that use the allowance
 // for lost ones.
-func TestLostRequestsGoOnInAShortage(t *testing.T) {
+func TestLostRequestsAreRetriedInAShortage(t *testing.T) {
 	overloaded := cassiatally.Answer{Outcome: cassiatally.OutcomeNotRun, Kind: cassiatally.KindOverloaded}
 	broken := cassiatally.Answer{Outcome: cassiatally.OutcomeUnknown, Kind: cassiatally.KindOutcomeUnknown}
 	for _, c := range []struct {
@@ -219,12 +220,12 @@
 		calls   int
 	}{
 		{"refused", []cassiatally.Answer{overloaded}, 1},
-		{"broken off", []cassiatally.Answer{broken, broken, broken}, 3},
-		{"broken off, then refused", []cassiatally.Answer{broken, overloaded, overloaded}, 3},
+		{"connection lost", []cassiatally.Answer{broken, broken, broken}, 3},
+		{"connection lost, then refused", []cassiatally.Answer{broken, overloaded, overloaded}, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			h := newHarness([]cassiatally.NodeID{"a", "b", "c", "d"}, openBudget{denied: true, lost: true}, fixedLoads{})
+			h := newHarness([]cassiatally.NodeID{"a", "b", "c", "d"}, stubBudget{denied: true, lostAllowed: true}, stubLoads{})
 			actions := h.Submit(start, request(true))
 			for i, a := range c.answers {
 				var call cassiatally.Call
@@ -238,11 +239,11 @@
 	}
 }
 
-// Guards against an answer that reaches a request it does not belong to: late,
-// doubled, from another node, or changed on the way.
+// Guards against the delivery of an answer that is not the request's own: for another
+// call, from another node, damaged in transit, or a duplicate.
 func TestForeignAndDamagedAnswers(t *testing.T) {
 	is := is.New(t)
-	h := newHarness([]cassiatally.NodeID{"a", "b"}, openBudget{denied: true}, fixedLoads{})
+	h := newHarness([]cassiatally.NodeID{"a", "b"}, stubBudget{denied: true}, stubLoads{})
 	to, call := sent(t, h.Submit(start, request(true)))
 	whole := cassiatally.Answer{ID: call.ID, Outcome: cassiatally.OutcomeRan, Body: []byte("own"), Digest: cassiatally.DigestOf([]byte("own"))}
 	other := whole
@@ -256,20 +257,21 @@
 	is.Equal(h.Counts().LateAnswers, uint64(3))
 }
 
-// Guards against an answer that lost its whole body and is passed on as empty.
+// Guards against an answer that lost its whole body in transit and is delivered as
+// an empty one.
 func TestAnswerWithoutItsBody(t *testing.T) {
 	is := is.New(t)
-	h := newHarness([]cassiatally.NodeID{"a", "b"}, openBudget{denied: true}, fixedLoads{})
+	h := newHarness([]cassiatally.NodeID{"a", "b"}, stubBudget{denied: true}, stubLoads{})
 	to, call := sent(t, h.Submit(start, request(true)))
 	empty := cassiatally.Answer{ID: call.ID, Outcome: cassiatally.OutcomeRan, Digest: cassiatally.DigestOf([]byte("own"))}
 	is.Equal(delivered(t, h.HandleAnswer(start, to, empty)).Kind, cassiatally.KindIncompleteAnswer)
 }
 
-// Guards against an answer to another request that got the id of this one on its
-// way, and against the loss of the own answer that follows it.
-func TestCrossedAnswer(t *testing.T) {
+// Guards against the delivery of another request's answer that got this call's id in
+// transit, and against the loss of the right answer that follows it.
+func TestAnswerWithAnotherRequestsTag(t *testing.T) {
 	is := is.New(t)
-	h := newHarness([]cassiatally.NodeID{"a", "b"}, openBudget{}, fixedLoads{})
+	h := newHarness([]cassiatally.NodeID{"a", "b"}, stubBudget{}, stubLoads{})
 	to, call := sent(t, h.Submit(start, request(false)))
 	other := call
 	other.ID.Seq += 50
@@ -280,11 +282,11 @@
 	is.Equal(h.Counts().Foreign, uint64(1))
 }
 
-// Guards against a refusal, or a spent retry, for a call that never left the node
-// while another endpoint can be reached.
+// Guards against a refusal, or a spent retry, for a call that could not be sent while
+// another endpoint is reachable.
 func TestUnreachableEndpoint(t *testing.T) {
 	is := is.New(t)
-	h := newHarness([]cassiatally.NodeID{"a", "b", "c", "d", "e"}, openBudget{denied: true}, fixedLoads{})
+	h := newHarness([]cassiatally.NodeID{"a", "b", "c", "d", "e"}, stubBudget{denied: true}, stubLoads{})
 	first, call := sent(t, h.Submit(start, request(false)))
 	second, call := sent(t, h.SendFailed(start, first, call))
 	is.True(second != first)
@@ -297,11 +299,11 @@
 	is.Equal(refused.Outcome, cassiatally.OutcomeNotRun)
 }
 
-// Guards against a refusal while the only endpoint left is dialled, and against a
-// call that waits for it without end.
-func TestOnlyEndpointLeftIsDialled(t *testing.T) {
+// Guards against a refusal while the only remaining endpoint is being dialled, and
+// against an unbounded wait for it.
+func TestOnlyRemainingEndpointIsDialled(t *testing.T) {
 	is := is.New(t)
-	h := newHarness([]cassiatally.NodeID{"a"}, openBudget{denied: true}, fixedLoads{})
+	h := newHarness([]cassiatally.NodeID{"a"}, stubBudget{denied: true}, stubLoads{})
 	to, call := sent(t, h.Submit(start, request(false)))
 	now := start
 	holds := 0
@@ -322,28 +324,28 @@
 	is.True(holds > 0 && holds < 10)
 }
 
-// Guards against idempotent calls that wait for a node of which nothing is heard
-// until their deadline, and against a second run of one that is not idempotent.
+// Guards against idempotent calls that wait until their deadline for a node that sends
+// nothing, and against a second run of a call that is not idempotent.
 func TestSilentLink(t *testing.T) {
 	peer := cassiatally.NodeRef{Node: "a", Incarnation: 4}
 	cases := []struct {
 		name       string
 		nodes      []cassiatally.NodeID
 		idempotent bool
-		budget     openBudget
+		budget     stubBudget
 		sends      int
 		moves      bool
 	}{
-		{"idempotent", []cassiatally.NodeID{"a", "b"}, true, openBudget{}, 2, true},
-		{"not idempotent", []cassiatally.NodeID{"a", "b"}, false, openBudget{}, 2, false},
-		{"without another endpoint", []cassiatally.NodeID{"a"}, true, openBudget{}, 2, false},
-		{"without retries", []cassiatally.NodeID{"a", "b"}, true, openBudget{denied: true}, 2, false},
-		{"with all sends used", []cassiatally.NodeID{"a", "b"}, true, openBudget{}, 1, false},
+		{"idempotent", []cassiatally.NodeID{"a", "b"}, true, stubBudget{}, 2, true},
+		{"not idempotent", []cassiatally.NodeID{"a", "b"}, false, stubBudget{}, 2, false},
+		{"without another endpoint", []cassiatally.NodeID{"a"}, true, stubBudget{}, 2, false},
+		{"without retries", []cassiatally.NodeID{"a", "b"}, true, stubBudget{denied: true}, 2, false},
+		{"with all sends used", []cassiatally.NodeID{"a", "b"}, true, stubBudget{}, 1, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			h := newHarness(c.nodes, c.budget, fixedLoads{})
+			h := newHarness(c.nodes, c.budget, stubLoads{})
 			req := request(c.idempotent)
 			req.Sends = c.sends
 			to, call := sent(t, h.Submit(start, req))
@@ -360,15 +362,16 @@
 			is.Equal(actions[len(actions)-1], cassiatally.Action(cassiatally.Send{To: to, Message: cassiatally.Cancel{ID: call.ID}}))
 			is.Equal(len(h.HandleAnswer(start, to, ran)), 0) // too late
 			refused := cassiatally.Answer{ID: again.ID, Outcome: cassiatally.OutcomeNotRun, Kind: cassiatally.KindQuarantined}
-			is.Equal(delivered(t, h.HandleAnswer(start, other, refused)).Outcome, cassiatally.OutcomeUnknown) // the first may have run
+			is.Equal(delivered(t, h.HandleAnswer(start, other, refused)).Outcome, cassiatally.OutcomeUnknown) // the first attempt may have run
 		})
 	}
 }
 
-// Guards against a lost link that repeats a non-idempotent run or forgets it.
+// Guards against a non-idempotent call that is retried or dropped when its link is
+// lost, instead of its outcome being queried.
 func TestLostLink(t *testing.T) {
 	is := is.New(t)
-	h := newHarness([]cassiatally.NodeID{"a", "b"}, openBudget{}, fixedLoads{})
+	h := newHarness([]cassiatally.NodeID{"a", "b"}, stubBudget{}, stubLoads{})
 	to, call := sent(t, h.Submit(start, request(false)))
 	actions := h.LinkLost(start, cassiatally.NodeRef{Node: to, Incarnation: 4})
 	is.Equal(len(actions), 1)
@@ -377,10 +380,10 @@
 	is.Equal(delivered(t, h.HandleAnswer(start, to, ran)).Outcome, cassiatally.OutcomeRan)
 }
 
-// Guards against a claim that is given up although another holder can take it.
+// Guards against a claim that fails although another holder can accept it.
 func TestClaimFollowsItsHolder(t *testing.T) {
 	is := is.New(t)
-	h := newHarness(nil, openBudget{}, fixedLoads{})
+	h := newHarness(nil, stubBudget{}, stubLoads{})
 	req := request(false)
 	req.Key = "north.0.1.00000000000000aa"
 	req.Attempt = 1
@@ -398,8 +401,8 @@
 	is.Equal(delivered(t, expired).Outcome, cassiatally.OutcomeUnknown)
 }
 
-// Guards against "not run" for a request that was passed on and may have been
-// run: that was told for first sends of a key whose holder did not answer in time.
+// Guards against the answer "not run" for a request that was sent on and may have been
+// run. First sends of a key whose holder did not answer in time got it.
 func TestExpiry(t *testing.T) {
 	holder := cassiatally.NodeRef{Node: "h1", Incarnation: 1}
 	cases := []struct {
@@ -409,16 +412,16 @@
 		holder  cassiatally.NodeRef
 		outcome cassiatally.Outcome
 	}{
-		{"first send that was passed on", "north.0.1.00000000000000aa", 1, holder, cassiatally.OutcomeUnknown},
-		{"further send that was passed on", "north.0.1.00000000000000aa", 2, holder, cassiatally.OutcomeUnknown},
-		{"first send that found no holder", "north.0.1.00000000000000aa", 1, cassiatally.NodeRef{}, cassiatally.OutcomeNotRun},
-		{"further send that found no holder", "north.0.1.00000000000000aa", 2, cassiatally.NodeRef{}, cassiatally.OutcomeUnknown},
+		{"first send to a holder", "north.0.1.00000000000000aa", 1, holder, cassiatally.OutcomeUnknown},
+		{"further send to a holder", "north.0.1.00000000000000aa", 2, holder, cassiatally.OutcomeUnknown},
+		{"first send without a holder", "north.0.1.00000000000000aa", 1, cassiatally.NodeRef{}, cassiatally.OutcomeNotRun},
+		{"further send without a holder", "north.0.1.00000000000000aa", 2, cassiatally.NodeRef{}, cassiatally.OutcomeUnknown},
 		{"run of a claimed request", "", 0, holder, cassiatally.OutcomeUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			h := newHarness([]cassiatally.NodeID{"a"}, openBudget{}, fixedLoads{})
+			h := newHarness([]cassiatally.NodeID{"a"}, stubBudget{}, stubLoads{})
 			h.holder = c.holder
 			req := request(false)
 			req.Key, req.Attempt = c.key, c.attempt
@@ -428,8 +431,8 @@
 	}
 }
 
-// Guards against a refusal at the entry that claims more than it knows: a re-sent
-// key may have run already, so only the holder can refuse it.
+// Guards against a refusal with "not run" at the entry for a re-sent key: it may have
+// run already, so only the holder can refuse it.
 func TestRefusalAtTheEntry(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -447,7 +450,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			h := newHarness([]cassiatally.NodeID{"a"}, openBudget{}, fixedLoads{short: true})
+			h := newHarness([]cassiatally.NodeID{"a"}, stubBudget{}, stubLoads{short: true})
 			h.holder = cassiatally.NodeRef{Node: "h1", Incarnation: 1}
 			req := request(c.key == "")
 			req.Key, req.Attempt, req.Parent = c.key, c.attempt, c.parent
@@ -463,8 +466,8 @@
 	}
 }
 
-// Guards against not_run for a re-sent key that arrives after its deadline, when
-// an earlier copy may have run.
+// Guards against the answer "not run" for a re-sent key that arrives after its
+// deadline, when an earlier copy may have run.
 func TestClaimAfterItsDeadline(t *testing.T) {
 	cases := []struct {
 		attempt uint16
@@ -476,7 +479,7 @@
 	}
 	for _, c := range cases {
 		is := is.New(t)
-		h := newHarness(nil, openBudget{}, fixedLoads{})
+		h := newHarness(nil, stubBudget{}, stubLoads{})
 		req := request(false)
 		req.Key, req.Attempt = "north.0.1.38519750480300e0", c.attempt
 		actions := h.Submit(req.Deadline, req)
@@ -485,8 +488,8 @@
 	}
 }
 
-// Guards against not_run for a request whose first attempt may have been run,
-// because a later attempt was refused.
+// Guards against the answer "not run" for a request whose first attempt may have been
+// run, because a later attempt was refused.
 func TestRefusalAfterAnUncertainAttempt(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -494,13 +497,13 @@
 		kind  cassiatally.ErrorKind
 		want  cassiatally.Outcome
 	}{
-		{"broken off, then refused", cassiatally.OutcomeUnknown, cassiatally.KindOutcomeUnknown, cassiatally.OutcomeUnknown},
+		{"connection lost, then refused", cassiatally.OutcomeUnknown, cassiatally.KindOutcomeUnknown, cassiatally.OutcomeUnknown},
 		{"refused twice", cassiatally.OutcomeNotRun, cassiatally.KindOverloaded, cassiatally.OutcomeNotRun},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			h := newHarness([]cassiatally.NodeID{"a", "b"}, openBudget{}, fixedLoads{})
+			h := newHarness([]cassiatally.NodeID{"a", "b"}, stubBudget{}, stubLoads{})
 			to, call := sent(t, h.Submit(start, request(true)))
 			first := cassiatally.Answer{ID: call.ID, Outcome: c.first, Kind: c.kind, Endpoint: cassiatally.EndpointLoad{Node: to}}
 			to, call = sent(t, h.HandleAnswer(start, to, first))
@@ -510,12 +513,13 @@
 	}
 }
 
-// Guards against a request that fails because one gate of a service has no room
-// while another has, and against one that wanders between gates that have none.
+// Guards against a request that fails because one endpoint of a service has no room
+// while another has, and against one that is redirected again and again between
+// endpoints that have none.
 func TestLoadRedirect(t *testing.T) {
 	for _, kind := range []cassiatally.ErrorKind{cassiatally.KindOverloaded, cassiatally.KindExpired} {
 		is := is.New(t)
-		h := newHarness([]cassiatally.NodeID{"a", "b", "c"}, openBudget{denied: true}, fixedLoads{})
+		h := newHarness([]cassiatally.NodeID{"a", "b", "c"}, stubBudget{denied: true}, stubLoads{})
 		h.Router = router.New(h.config(1))
 		to, call := sent(t, h.Submit(start, request(false)))
 		full := func(id cassiatally.CallID, n cassiatally.NodeID) cassiatally.Answer {
@@ -528,10 +532,10 @@
 	}
 }
 
-// Guards against a failure of one backend server that the caller sees although
-// another one could have answered, and against a repetition of a run whose onward
+// Guards against a failure of one backend server that is reported to the caller
+// although another one could have answered, and against a retry of a run whose onward
 // calls failed: it would fail again and load the services below.
-func TestOwnFailureIsRepeated(t *testing.T) {
+func TestOwnFailureIsRetried(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		own, idempotent bool
@@ -543,7 +547,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			h := newHarness([]cassiatally.NodeID{"a", "b"}, openBudget{}, fixedLoads{})
+			h := newHarness([]cassiatally.NodeID{"a", "b"}, stubBudget{}, stubLoads{})
 			to, call := sent(t, h.Submit(start, request(c.idempotent)))
 			failed := cassiatally.Answer{
 				ID: call.ID, Outcome: cassiatally.OutcomeRan, Kind: cassiatally.KindBackendFailed, Status: 500, OwnFailure: c.own,
@@ -560,10 +564,11 @@
 	}
 }
 
-// Guards against a request that is sent to more endpoints than its route allows.
+// Guards against a request that is sent to more endpoints than its route's Attempts
+// allow.
 func TestSendsAreBounded(t *testing.T) {
 	is := is.New(t)
-	h := newHarness([]cassiatally.NodeID{"a", "b", "c"}, openBudget{}, fixedLoads{})
+	h := newHarness([]cassiatally.NodeID{"a", "b", "c"}, stubBudget{}, stubLoads{})
 	req := request(true)
 	req.Retries, req.Sends = 8, 2
 	to, call := sent(t, h.Submit(start, req))
@@ -574,13 +579,13 @@
 	is.Equal(delivered(t, h.HandleAnswer(start, to, lost(call.ID, to))).Kind, cassiatally.KindOutcomeUnknown)
 }
 
-// Guards against refused callers that all come back at the same time, or so late
-// that no time is left.
-func TestCallersComeBackSpread(t *testing.T) {
+// Guards against refused callers that are told to retry all at the same time, or so
+// late that no time is left.
+func TestRetryAfterIsSpread(t *testing.T) {
 	is := is.New(t)
 	var earliest, latest time.Duration
 	for i := range 100 {
-		h := newHarness(nil, openBudget{}, fixedLoads{})
+		h := newHarness(nil, stubBudget{}, stubLoads{})
 		req := request(true)
 		req.Order = cassiatally.Order(float64(i) / 100)
 		after := delivered(t, h.Submit(start, req)).RetryAfter
