--- a/cassiatally/registrar/bench_test.go
+++ b/cassiatally/registrar/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/cassiatally/cassiatally/cassiatally/registrar"
 )
 
-// BenchmarkView measures a view of the member table, and the memory of the table,
-// for a data centre of 132 nodes alone and with 24 others and 210 services.
+// BenchmarkView measures a view of the member table and the memory of the table, for
+// one data centre of 132 nodes, and for it and 24 others with 210 services.
 func BenchmarkView(b *testing.B) {
 	for name, foreign := range map[string]int{"own_data_centre": 0, "target_size": 3168} {
 		b.Run(name, func(b *testing.B) {
@@ -35,8 +35,8 @@
 	}
 }
 
-// BenchmarkSecond measures what gossip in a data centre of 132 nodes costs in a
-// second, without frames: a round, four messages with beats, and a view.
+// BenchmarkSecond measures the work of one second of gossip in a data centre of 132
+// nodes, without encoding: a round, four messages with heartbeats, and a view.
 func BenchmarkSecond(b *testing.B) {
 	r := registrarWith(0)
 	now := cassiatally.Instant(0)
@@ -46,17 +46,18 @@
 		now = now.Add(time.Second)
 		r.Tick(now)
 		for k := range 4 {
-			r.HandleGossip(now, cassiatally.NodeRef{Node: "peer", Incarnation: 1}, beats(k, uint64(n)+2))
+			r.HandleGossip(now, cassiatally.NodeRef{Node: "peer", Incarnation: 1}, heartbeats(k, uint64(n)+2))
 		}
 		r.View(now)
 	}
 }
 
-// beats returns a message with the beats of one to four quarters of the members.
-func beats(first int, heartbeat uint64) cassiatally.Gossip {
+// heartbeats returns a message with the heartbeat entries of the members of the first
+// quarter up to quarter last, of four.
+func heartbeats(last int, heartbeat uint64) cassiatally.Gossip {
 	var g cassiatally.Gossip
 	for i := range 131 {
-		if i%4 <= first {
+		if i%4 <= last {
 			g.Members = append(g.Members, cassiatally.Member{
 				Ref: cassiatally.NodeRef{Node: cassiatally.NodeID(fmt.Sprintf("node-%d", i)), Incarnation: 1}, Heartbeat: heartbeat, Revision: 1,
 			})
@@ -65,8 +66,8 @@
 	return g
 }
 
-// registrarWith returns one that knows 131 members of its own data centre and was
-// told of a number of foreign ones.
+// registrarWith returns a registrar that received full entries of 131 members of its
+// own data centre and of a number of foreign ones.
 func registrarWith(foreign int) *registrar.Registrar {
 	r := registrar.New(registrar.Config{
 		Self: cassiatally.NodeRef{Node: "self", Incarnation: 1}, DataCentre: "dc-0", Address: "10.0.0.1:1",
--- a/cassiatally/registrar/fleettest/fleet_test.go
+++ b/cassiatally/registrar/fleettest/fleet_test.go
@@ -18,33 +18,34 @@
 
 const step = 50 * time.Millisecond
 
-type letter struct {
+type delivery struct {
 	from, to int
 	message  cassiatally.Gossip
 }
 
-// fleet runs many registrars in virtual time. A message arrives one step later.
+// fleet runs many registrars in virtual time. A message arrives one step after it was
+// sent, or is lost.
 type fleet struct {
-	t       *testing.T
-	codec   *protocol.Codec
-	rand    *rand.Rand
-	now     cassiatally.Instant
-	nodes   []*registrar.Registrar // nil: killed
-	refs    []cassiatally.NodeRef
-	dcs     []cassiatally.DataCentre
-	byName  map[cassiatally.NodeID]int
-	byAddr  map[cassiatally.Address]int
-	letters []letter
-	loss    float64
-	cut     func(a, b int) bool
-	sent    []int // bytes in the current window
-	peak    int   // the most bytes that a node sent in a second
-	most    int   // the most messages that a node sent in a second
-	total   int
-	windows int
-	count   []int
-	posted  int             // messages sent
-	pairs   map[[2]int]bool // nodes that exchanged a message
+	t             *testing.T
+	codec         *protocol.Codec
+	rand          *rand.Rand
+	now           cassiatally.Instant
+	nodes         []*registrar.Registrar // nil when killed
+	refs          []cassiatally.NodeRef
+	dcs           []cassiatally.DataCentre
+	byName        map[cassiatally.NodeID]int
+	byAddr        map[cassiatally.Address]int
+	inFlight      []delivery
+	loss          float64
+	partitioned   func(a, b int) bool
+	sentBytes     []int // bytes in the current window
+	peakBytes     int   // the most bytes that a node sent in a second
+	peakMessages  int   // the most messages that a node sent in a second
+	totalBytes    int
+	windows       int
+	sentMessages  []int
+	totalMessages int             // messages sent
+	pairs         map[[2]int]bool // nodes that exchanged a message
 }
 
 func newFleet(t *testing.T, dcs, perDC, services int) *fleet {
@@ -56,15 +57,15 @@
 	f := &fleet{
 		t: t, codec: codec, rand: rand.New(rand.NewPCG(1, 2)), now: cassiatally.Instant(time.Hour),
 		byName: map[cassiatally.NodeID]int{}, byAddr: map[cassiatally.Address]int{}, loss: 0.02,
-		pairs: map[[2]int]bool{},
-		cut:   func(_, _ int) bool { return false },
+		pairs:       map[[2]int]bool{},
+		partitioned: func(_, _ int) bool { return false },
 	}
 	for i := range dcs * perDC {
 		f.dcs = append(f.dcs, cassiatally.DataCentre(fmt.Sprintf("region-%02d", i/perDC)))
 		f.nodes = append(f.nodes, nil)
 		f.refs = append(f.refs, cassiatally.NodeRef{})
-		f.sent = append(f.sent, 0)
-		f.count = append(f.count, 0)
+		f.sentBytes = append(f.sentBytes, 0)
+		f.sentMessages = append(f.sentMessages, 0)
 	}
 	for i := range f.nodes {
 		f.start(i, cassiatally.Incarnation(1<<60+i), services)
@@ -88,7 +89,7 @@
 	f.nodes[i].SetCrashes(slices.Repeat([]cassiatally.CrashReport{
 		{Fingerprint: 1 << 63, Reporter: ref, Crashes: 300, Clears: 300},
 	}, 20))
-	f.post(i, f.nodes[i].SetEndpoint(f.now, endpoint(i%services, 100)))
+	f.send(i, f.nodes[i].SetEndpoint(f.now, endpoint(i%services, 100)))
 }
 
 func endpoint(service int, slots cassiatally.Concurrency) cassiatally.Endpoint {
@@ -100,7 +101,7 @@
 	}
 }
 
-func (f *fleet) post(from int, actions []cassiatally.Action) {
+func (f *fleet) send(from int, actions []cassiatally.Action) {
 	for _, a := range actions {
 		to, m := -1, cassiatally.Message(nil)
 		switch a := a.(type) {
@@ -113,12 +114,12 @@
 		if err != nil {
 			f.t.Fatal(err)
 		}
-		f.sent[from] += len(data)
-		f.count[from]++
-		f.posted++
+		f.sentBytes[from] += len(data)
+		f.sentMessages[from]++
+		f.totalMessages++
 		f.pairs[[2]int{min(from, to), max(from, to)}] = true
-		if f.rand.Float64() >= f.loss && !f.cut(from, to) {
-			f.letters = append(f.letters, letter{from, to, m.(cassiatally.Gossip)})
+		if f.rand.Float64() >= f.loss && !f.partitioned(from, to) {
+			f.inFlight = append(f.inFlight, delivery{from, to, m.(cassiatally.Gossip)})
 		}
 	}
 }
@@ -129,45 +130,45 @@
 	const checkEvery = 5 * step // views of many nodes are slow to build
 	for f.now.Sub(begin) < limit && (f.now.Sub(begin)%checkEvery != 0 || !done()) {
 		f.now = f.now.Add(step)
-		letters := f.letters
-		f.letters = nil
+		letters := f.inFlight
+		f.inFlight = nil
 		for _, l := range letters {
 			if f.nodes[l.to] != nil {
-				f.post(l.to, f.nodes[l.to].HandleGossip(f.now, f.refs[l.from], l.message))
+				f.send(l.to, f.nodes[l.to].HandleGossip(f.now, f.refs[l.from], l.message))
 			}
 		}
 		for i, n := range f.nodes {
-			// Nodes start their rounds at different times of the second.
+			// Nodes start their rounds at different times within the second.
 			if n != nil && time.Duration(f.now)%time.Second == time.Duration(i%20)*step {
-				f.post(i, n.Tick(f.now))
+				f.send(i, n.Tick(f.now))
 			}
 		}
 		if time.Duration(f.now)%time.Second == 0 {
-			f.window()
+			f.closeWindow()
 		}
 	}
 	return f.now.Sub(begin)
 }
 
-func (f *fleet) window() {
-	f.peak = max(f.peak, slices.Max(f.sent))
-	f.most = max(f.most, slices.Max(f.count))
-	for i := range f.sent {
-		f.total += f.sent[i]
-		f.sent[i], f.count[i] = 0, 0
+func (f *fleet) closeWindow() {
+	f.peakBytes = max(f.peakBytes, slices.Max(f.sentBytes))
+	f.peakMessages = max(f.peakMessages, slices.Max(f.sentMessages))
+	for i := range f.sentBytes {
+		f.totalBytes += f.sentBytes[i]
+		f.sentBytes[i], f.sentMessages[i] = 0, 0
 	}
-	f.windows += len(f.sent)
+	f.windows += len(f.sentBytes)
 }
 
-func (f *fleet) pass(d time.Duration) { f.run(d, func() bool { return false }) }
+func (f *fleet) advance(d time.Duration) { f.run(d, func() bool { return false }) }
 
-func (f *fleet) knows(i, about int) (cassiatally.Member, bool) {
-	m, found := f.nodes[i].Member(f.refs[about].Node)
-	return m, found && m.Ref == f.refs[about]
+func (f *fleet) memberOf(i, of int) (cassiatally.Member, bool) {
+	m, found := f.nodes[i].Member(f.refs[of].Node)
+	return m, found && m.Ref == f.refs[of]
 }
 
-// local reports whether every live node of a data centre satisfies ok.
-func (f *fleet) local(dc cassiatally.DataCentre, ok func(i int) bool) bool {
+// allLocal reports whether every live node of a data centre satisfies ok.
+func (f *fleet) allLocal(dc cassiatally.DataCentre, ok func(i int) bool) bool {
 	for i, n := range f.nodes {
 		if n != nil && f.dcs[i] == dc && !ok(i) {
 			return false
@@ -186,25 +187,25 @@
 	return n
 }
 
-func (f *fleet) full(perDC int) bool {
-	return f.holds(func(i int) bool { return f.localMembers(i) == perDC })()
+func (f *fleet) complete(perDC int) bool {
+	return f.allNodes(func(i int) bool { return f.localMembers(i) == perDC })()
 }
 
 // Guards against changes that spread too slowly in a data centre of the target
-// size, members that are suspected while they live, traffic above 16 KB/s, and
-// links and messages whose number grows with the members.
+// size, live members that are suspected, traffic above 16 KB/s, and numbers of links
+// and messages that grow with the number of members.
 func TestDataCentreOfTargetSize(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	const size = 132
 	f := newFleet(t, 1, size, 8)
-	took := f.run(time.Minute, func() bool { return f.full(size) })
-	t.Logf("cold start: %v, at most %d bytes/s", took, f.peak)
+	took := f.run(time.Minute, func() bool { return f.complete(size) })
+	t.Logf("cold start: %v, at most %d bytes/s", took, f.peakBytes)
 	is.True(took < 30*time.Second)
-	f.peak, f.total, f.windows, f.posted = 0, 0, 0, 0
+	f.peakBytes, f.totalBytes, f.windows, f.totalMessages = 0, 0, 0, 0
 	clear(f.pairs)
-	f.pass(10 * time.Second)
-	perSecond, links := float64(f.posted)/size/10, 2*float64(len(f.pairs))/size
+	f.advance(10 * time.Second)
+	perSecond, links := float64(f.totalMessages)/size/10, 2*float64(len(f.pairs))/size
 	t.Logf("steady: %.1f messages/s, %.1f links used in 10 s", perSecond, links)
 	is.True(perSecond < 10)
 	is.True(links < 60)
@@ -212,14 +213,14 @@
 	for _, n := range f.nodes {
 		suspected += len(n.View(f.now).Suspects)
 	}
-	t.Logf("steady: %d bytes/s mean, %d most, %d suspects in %d views", f.total/f.windows, f.peak, suspected, size)
-	is.True(f.peak < 16_000)
+	t.Logf("steady: %d bytes/s mean, %d most, %d suspects in %d views", f.totalBytes/f.windows, f.peakBytes, suspected, size)
+	is.True(f.peakBytes < 16_000)
 	is.True(suspected < size*size/100)
 
-	f.post(7, f.nodes[7].SetEndpoint(f.now, endpoint(7, 55)))
+	f.send(7, f.nodes[7].SetEndpoint(f.now, endpoint(7, 55)))
 	took = f.run(time.Minute, func() bool {
-		return f.local(f.dcs[7], func(i int) bool {
-			m, _ := f.knows(i, 7)
+		return f.allLocal(f.dcs[7], func(i int) bool {
+			m, _ := f.memberOf(i, 7)
 			return m.Endpoint.Slots == 55
 		})
 	})
@@ -229,49 +230,49 @@
 	f.nodes[9] = nil
 	killed := f.now
 	took = f.run(time.Minute, func() bool {
-		return f.local(f.dcs[9], func(i int) bool {
-			_, known := f.knows(i, 9)
-			return !known || slices.Contains(f.nodes[i].View(f.now).Suspects, f.refs[9])
+		return f.allLocal(f.dcs[9], func(i int) bool {
+			_, found := f.memberOf(i, 9)
+			return !found || slices.Contains(f.nodes[i].View(f.now).Suspects, f.refs[9])
 		})
 	})
 	t.Logf("suspected or removed by all after %v", took)
 	is.True(took <= 10*time.Second)
 	f.run(time.Minute, func() bool {
-		return f.local(f.dcs[9], func(i int) bool { _, known := f.knows(i, 9); return !known })
+		return f.allLocal(f.dcs[9], func(i int) bool { _, found := f.memberOf(i, 9); return !found })
 	})
 	took = f.now.Sub(killed)
 	t.Logf("removed from all after %v", took)
 	is.True(took >= 9*time.Second && took <= 15*time.Second)
-	f.pass(5 * time.Second)
-	is.True(f.local(f.dcs[9], func(i int) bool { _, known := f.knows(i, 9); return !known })) // stays removed
+	f.advance(5 * time.Second)
+	is.True(f.allLocal(f.dcs[9], func(i int) bool { _, found := f.memberOf(i, 9); return !found })) // stays removed
 
 	f.start(9, 1<<61, 8)
 	took = f.run(time.Minute, func() bool {
-		return f.local(f.dcs[9], func(i int) bool { _, known := f.knows(i, 9); return known })
+		return f.allLocal(f.dcs[9], func(i int) bool { _, found := f.memberOf(i, 9); return found })
 	})
-	t.Logf("new incarnation known to all after %v", took)
+	t.Logf("new incarnation received by all after %v", took)
 	is.True(took <= 5*time.Second)
-	is.True(f.peak < 16_000)
+	is.True(f.peakBytes < 16_000)
 }
 
-// holds reports whether every live node satisfies ok.
-func (f *fleet) holds(ok func(i int) bool) func() bool {
+// allNodes returns a check whether every live node satisfies ok.
+func (f *fleet) allNodes(ok func(i int) bool) func() bool {
 	return func() bool {
-		return !slices.ContainsFunc(slices.Compact(slices.Clone(f.dcs)), func(dc cassiatally.DataCentre) bool { return !f.local(dc, ok) })
+		return !slices.ContainsFunc(slices.Compact(slices.Clone(f.dcs)), func(dc cassiatally.DataCentre) bool { return !f.allLocal(dc, ok) })
 	}
 }
 
-// Guards against changes that stay in their data centre, members that are kept
-// without bound, and all nodes keeping the same few members of others.
+// Guards against changes that do not leave their data centre, member tables that grow
+// without bound, and nodes that all keep the same few members of other data centres.
 func TestSeveralDataCentres(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	const dcs, perDC, services = 6, 16, 8
 	f := newFleet(t, dcs, perDC, services)
-	f.run(time.Minute, func() bool { return f.full(perDC) })
-	f.pass(15 * time.Second)
-	f.peak = 0
-	f.pass(5 * time.Second)
+	f.run(time.Minute, func() bool { return f.complete(perDC) })
+	f.advance(15 * time.Second)
+	f.peakBytes = 0
+	f.advance(5 * time.Second)
 	kept := map[cassiatally.NodeID]bool{}
 	for i := range perDC {
 		members := f.nodes[i].View(f.now).Members
@@ -281,28 +282,28 @@
 			kept[m.Ref.Node] = true
 		}
 	}
-	t.Logf("one data centre keeps %d of %d members; at most %d bytes/s", len(kept), dcs*perDC, f.peak)
+	t.Logf("one data centre keeps %d of %d members; at most %d bytes/s", len(kept), dcs*perDC, f.peakBytes)
 	is.True(len(kept) > dcs*perDC*3/4)
 
-	f.post(30, f.nodes[30].SetEndpoint(f.now, endpoint(900, 7)))
-	took := f.run(time.Minute, f.holds(func(i int) bool { _, known := f.knows(i, 30); return known && hasSlots(f, i, 30, 7) }))
-	t.Logf("new service known to all after %v", took)
+	f.send(30, f.nodes[30].SetEndpoint(f.now, endpoint(900, 7)))
+	took := f.run(time.Minute, f.allNodes(func(i int) bool { _, found := f.memberOf(i, 30); return found && hasSlots(f, i, 30, 7) }))
+	t.Logf("new service received by all after %v", took)
 	is.True(took <= 12*time.Second)
 
-	f.post(30, f.nodes[30].SetLeaving(f.now))
-	took = f.run(time.Minute, f.holds(func(i int) bool { m, known := f.knows(i, 30); return !known || m.Leaving }))
-	t.Logf("leaving known to all after %v", took)
+	f.send(30, f.nodes[30].SetLeaving(f.now))
+	took = f.run(time.Minute, f.allNodes(func(i int) bool { m, found := f.memberOf(i, 30); return !found || m.Leaving }))
+	t.Logf("leaving received by all after %v", took)
 	is.True(took <= 12*time.Second)
-	is.True(f.peak < 16_000)
+	is.True(f.peakBytes < 16_000)
 }
 
-func hasSlots(f *fleet, i, about int, slots cassiatally.Concurrency) bool {
-	m, _ := f.knows(i, about)
+func hasSlots(f *fleet, i, of int, slots cassiatally.Concurrency) bool {
+	m, _ := f.memberOf(i, of)
 	return m.Endpoint.Slots == slots
 }
 
-// Guards against removed members that come back after a partition, data centres
-// that do not find each other again, and a storm of messages when they do.
+// Guards against removed members that are added again after a partition, data centres
+// that do not find each other again, and a burst of messages when they do.
 func TestPartitionAndRejoin(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -317,39 +318,39 @@
 		}
 		return n
 	}
-	joined := f.holds(func(i int) bool { return others(i) >= 4*(dcs-1) })
+	joined := f.allNodes(func(i int) bool { return others(i) >= 4*(dcs-1) })
 	is.True(f.run(time.Minute, joined) < time.Minute)
 
-	f.cut = func(a, b int) bool { return (a < perDC) != (b < perDC) }
+	f.partitioned = func(a, b int) bool { return (a < perDC) != (b < perDC) }
 	f.nodes[3], f.nodes[perDC+3] = nil, nil
-	f.pass(40 * time.Second)
-	is.True(f.local(f.dcs[0], func(i int) bool { return others(i) == 0 })) // the cut-off side removed the rest
-	f.peak, f.most = 0, 0
+	f.advance(40 * time.Second)
+	is.True(f.allLocal(f.dcs[0], func(i int) bool { return others(i) == 0 })) // the partitioned side removed the rest
+	f.peakBytes, f.peakMessages = 0, 0
 
-	f.cut = func(_, _ int) bool { return false }
+	f.partitioned = func(_, _ int) bool { return false }
 	took := f.run(time.Minute, joined)
-	t.Logf("rejoined after %v, at most %d messages and %d bytes in a second", took, f.most, f.peak)
+	t.Logf("rejoined after %v, at most %d messages and %d bytes in a second", took, f.peakMessages, f.peakBytes)
 	is.True(took <= 20*time.Second)
 	for range 20 {
-		f.pass(time.Second)
-		is.True(f.holds(func(i int) bool {
-			_, a := f.knows(i, 3)
-			_, b := f.knows(i, perDC+3)
+		f.advance(time.Second)
+		is.True(f.allNodes(func(i int) bool {
+			_, a := f.memberOf(i, 3)
+			_, b := f.memberOf(i, perDC+3)
 			return !a && !b
 		})()) // killed members stay removed
 	}
-	is.True(f.most <= 40)
-	is.True(f.peak < 16_000)
+	is.True(f.peakMessages <= 40)
+	is.True(f.peakBytes < 16_000)
 }
 
-// Guards against changes and versions that some members never hear of when
-// messages are lost, and against versions of others that stay out of date.
+// Guards against changes and sheet versions that some members never receive when
+// messages are lost, and against recorded versions of others that stay out of date.
 func TestSpreadWithLoss(t *testing.T) {
 	t.Parallel()
 	const size = 64
 	cases := []struct {
 		loss float64
-		// changes are told at once, versions by beats.
+		// changes are sent at once, versions with heartbeats.
 		change, version time.Duration
 	}{{0, 4 * time.Second, 9 * time.Second}, {0.1, 6 * time.Second, 11 * time.Second}, {0.3, 12 * time.Second, 15 * time.Second}}
 	for _, c := range cases {
@@ -357,26 +358,26 @@
 			t.Parallel()
 			is := is.New(t)
 			f := newFleet(t, 1, size, 8)
-			f.run(time.Minute, func() bool { return f.full(size) })
+			f.run(time.Minute, func() bool { return f.complete(size) })
 			f.loss = c.loss
-			f.pass(5 * time.Second)
+			f.advance(5 * time.Second)
 			for n := range 5 {
 				slots := cassiatally.Concurrency(200 + n)
-				f.post(n, f.nodes[n].SetEndpoint(f.now, endpoint(n%8, slots)))
-				took := f.run(time.Minute, f.holds(func(i int) bool { return hasSlots(f, i, n, slots) }))
-				t.Logf("change known to all after %v", took)
+				f.send(n, f.nodes[n].SetEndpoint(f.now, endpoint(n%8, slots)))
+				took := f.run(time.Minute, f.allNodes(func(i int) bool { return hasSlots(f, i, n, slots) }))
+				t.Logf("change received by all after %v", took)
 				is.True(took <= c.change)
 			}
 			for i, n := range f.nodes {
-				f.post(i, n.SetSheet(f.now, 7))
+				f.send(i, n.SetSheet(f.now, 7))
 			}
-			took := f.run(time.Minute, f.holds(func(i int) bool {
+			took := f.run(time.Minute, f.allNodes(func(i int) bool {
 				return !slices.ContainsFunc(f.refs, func(ref cassiatally.NodeRef) bool {
-					m, known := f.nodes[i].Member(ref.Node)
-					return known && m.Sheet != 7
+					m, found := f.nodes[i].Member(ref.Node)
+					return found && m.Sheet != 7
 				})
 			}))
-			t.Logf("version of each known to all after %v", took)
+			t.Logf("version of each received by all after %v", took)
 			is.True(took <= c.version)
 		})
 	}
--- a/cassiatally/registrar/partners.go
+++ b/cassiatally/registrar/partners.go
@@ -11,31 +11,32 @@
 )
 
 const (
-	// rings is the number of orders of the members of a data centre. A node gossips
-	// with its neighbours on each, which makes at most 10 partners. Each ring joins
-	// all members, and several rings together have short paths. With random peers,
-	// a node kept links to all members of its data centre.
+	// rings is the number of hash rings of the members of a data centre. A node gossips
+	// with its neighbours on each ring, at most 10 partners. Each ring connects all
+	// members, and several rings together have short paths. With random peers, a node
+	// kept links to all members of its data centre.
 	rings = 5
 	// foreignPartners bounds the partners in other data centres, at most one in each.
 	foreignPartners = 4
-	// strangerChance is the chance that a round goes to any member instead of a
-	// partner, so that nodes whose tables differ find each other.
-	strangerChance = 0.05
-	// foreignStrangerChance is higher, since messages to members of other data
-	// centres are what introduces the nodes of both to each other. With 0.05, four
-	// data centres of 16 nodes with one seed needed 2 minutes to know each other.
-	foreignStrangerChance = 0.5
+	// randomPeerProbability is the probability that a round goes to a random member
+	// instead of a partner, so that nodes whose tables differ find each other.
+	randomPeerProbability = 0.05
+	// foreignRandomPeerProbability is higher, since only messages between data centres
+	// add the nodes of each to the tables of the other. With 0.05, four data centres of
+	// 16 nodes with one seed needed 2 minutes until all were connected.
+	foreignRandomPeerProbability = 0.5
 )
 
-// placesOf returns the places of a node on the rings, the same on all nodes.
-func placesOf(id cassiatally.NodeID) (places [rings]uint64) {
+// ringPositionsOf returns the positions of a node on the rings. All nodes compute the
+// same ones.
+func ringPositionsOf(id cassiatally.NodeID) (places [rings]uint64) {
 	for i := range places {
 		places[i] = xxhash.Sum64String("ring" + strconv.Itoa(i) + "\x00" + string(id))
 	}
 	return places
 }
 
-// partners returns the members that this node gossips with, by name. Suspects
+// partners returns the members that this node gossips with, sorted by name. Suspects
 // are left out, so that a ring closes around a failed member.
 func (r *Registrar) partners(local bool) []cassiatally.NodeID {
 	var ids []cassiatally.NodeID
@@ -45,26 +46,26 @@
 		ids = r.foreignGateways()
 	}
 	if len(ids) == 0 {
-		// Suspects may be alive, and nobody else is known.
+		// Suspects may be alive, and there are no other members.
 		ids = r.peers(local)
 	}
 	slices.Sort(ids)
 	return slices.Compact(ids)
 }
 
-// neighbours returns the next and the previous member on each ring.
+// neighbours returns the next and the previous member on each ring, with repetitions.
 func (r *Registrar) neighbours() []cassiatally.NodeID {
 	var next, previous [rings]*entry
 	for _, e := range r.table {
 		if e.member.DataCentre != r.cfg.DataCentre || r.suspected(r.lastEvent, e) {
 			continue
 		}
-		for i, own := range r.places {
+		for i, own := range r.ringPositions {
 			// Distances wrap around, and so does the subtraction.
-			if next[i] == nil || e.places[i]-own < next[i].places[i]-own {
+			if next[i] == nil || e.ringPositions[i]-own < next[i].ringPositions[i]-own {
 				next[i] = e
 			}
-			if previous[i] == nil || own-e.places[i] < own-previous[i].places[i] {
+			if previous[i] == nil || own-e.ringPositions[i] < own-previous[i].ringPositions[i] {
 				previous[i] = e
 			}
 		}
@@ -104,25 +105,25 @@
 	return ids
 }
 
-// rotation takes the partners in turn, so that each of them hears from this node
-// as often as the others.
-type rotation struct{ left []cassiatally.NodeID }
+// rotation selects the partners in turn, so that all of them receive equally many
+// messages.
+type rotation struct{ remaining []cassiatally.NodeID }
 
-// roundPeers returns the peers of a gossip round.
+// roundPeers returns the peers that get a message in this gossip round.
 func (r *Registrar) roundPeers(local bool) []cassiatally.NodeID {
 	turn, n := &r.foreign, foreignPeers
 	if local {
 		turn, n = &r.local, localPeers
 	}
 	partners := r.partners(local)
-	out := turn.next(partners, min(n, len(partners)), r.pick)
-	chance := strangerChance
+	out := turn.next(partners, min(n, len(partners)), r.pickRandom)
+	chance := randomPeerProbability
 	if !local {
-		chance = foreignStrangerChance
+		chance = foreignRandomPeerProbability
 	}
 	if len(out) > 0 && r.rand.Float64() < chance {
-		if any := r.pick(r.peers(local), 1); !slices.Contains(out, any[0]) {
-			out[0] = any[0]
+		if random := r.pickRandom(r.peers(local), 1); !slices.Contains(out, random[0]) {
+			out[0] = random[0]
 		}
 	}
 	return out
@@ -131,11 +132,11 @@
 func (t *rotation) next(partners []cassiatally.NodeID, n int, pick func([]cassiatally.NodeID, int) []cassiatally.NodeID) []cassiatally.NodeID {
 	var out []cassiatally.NodeID
 	for len(out) < n {
-		if len(t.left) == 0 {
-			t.left = pick(slices.Clone(partners), len(partners))
+		if len(t.remaining) == 0 {
+			t.remaining = pick(slices.Clone(partners), len(partners))
 		}
-		id := t.left[0]
-		t.left = t.left[1:]
+		id := t.remaining[0]
+		t.remaining = t.remaining[1:]
 		if slices.Contains(partners, id) && !slices.Contains(out, id) {
 			out = append(out, id)
 		}
--- a/cassiatally/registrar/registrar.go
+++ b/cassiatally/registrar/registrar.go
@@ -1,11 +1,11 @@
-// Package registrar keeps the members and endpoints that a node knows, as a pure
+// Package registrar keeps a node's table of members and their endpoints, as a pure
 // state machine. Nodes gossip their heartbeats and changes; a member whose
 // heartbeat stops growing is suspected and later removed.
 //
-// An entry travels in one of three forms. A full entry, which has an address,
-// tells a change, and nodes forward it at once. A beat, which has none, tells a
-// heartbeat, a load and the revision of the full entry. A query, which has no
-// heartbeat, asks for the full entry; the reply is never forwarded.
+// A message has entries of three forms. A full entry, which has an address, carries
+// a change, and nodes forward it at once. A heartbeat entry, which has no address,
+// carries a heartbeat, a load and the revision of the full entry. A query, which has
+// no heartbeat, asks for the full entry; the reply is never forwarded.
 //
 // # Usage
 //
@@ -15,8 +15,8 @@
 //	actions = append(actions, r.HandleGossip(now, from, g)...) // from a link
 //	view.Store(r.View(now))
 //
-// Incarnations of a node must grow, since the greatest one replaces the others;
-// a node that starts takes its own from the time of day. A Registrar is not safe
+// Incarnations of a node must grow, since the greatest one replaces the others; a
+// node derives its own from the time of day at its start. A Registrar is not safe
 // for concurrent use; a View is immutable.
 package registrar
 
@@ -31,67 +31,71 @@
 )
 
 const (
-	// localPeers and foreignPeers are the partners that get a message in a round.
+	// localPeers and foreignPeers are the numbers of partners, in the own data centre and
+	// in others, that get a message in a round.
 	localPeers   = 3
 	foreignPeers = 1
-	// eagerPeers local peers get a change at once; gossip rounds and queries
-	// cover the few that a single push misses.
+	// eagerPeers local peers get a change at once; gossip rounds and queries reach the
+	// few that the push misses.
 	eagerPeers = 3
-	// A change goes to another data centre with one forward in eagerForeign.
+	// One forward of a change in eagerForeign also goes to another data centre.
 	eagerForeign = 4
 
 	// In a second a node sends at most 3 round messages within its data centre, 1
 	// to another, and its allowance of replies and forwards: 14,400 bytes, below
-	// the target of 16 KB/s. Two messages of 4,500 bytes tell as much, but a change
+	// the target of 16 KB/s. Two messages of 4,500 bytes carry as much, but a change
 	// or the last heartbeat of a failed member reaches the last of 132 members later.
-	maxLocalBytes   = 3000
-	maxForeignBytes = 1800
-	allowanceBytes  = 3600
-	maxReplyBytes   = 2500
-	maxEntries      = 100
-	maxAsked        = 24
-	// maxPulled bounds the members in a query to a partner.
-	maxPulled = 12
-	// lastQuery is how long before its suspicion a member is queried directly, in
-	// halves of an interval, so that an answer arrives in time. Queries half an
-	// interval earlier were four times as many.
-	lastQuery  = 3
-	maxCrashes = 8
-	// crashPeers get news of crashes at once. With four, relayed news misses one
-	// node in fifty or so, which a round reaches later.
+	maxLocalBytes    = 3000
+	maxForeignBytes  = 1800
+	allowanceBytes   = 3600
+	maxReplyBytes    = 2500
+	maxEntries       = 100
+	maxDirectQueries = 24
+	// maxPartnerQueries bounds the queries in a message to a partner.
+	maxPartnerQueries = 12
+	// directQueryHalfIntervals is how long before it would be suspected a member is
+	// queried directly, in halves of an interval, so that an answer arrives in time.
+	// Querying half an interval earlier took four times as many queries.
+	directQueryHalfIntervals = 3
+	maxCrashes               = 8
+	// crashPeers local peers get a new crash report at once. With four, a relayed report
+	// misses about one node in fifty, which a round reaches later.
 	crashPeers = 4
-	// maxForeignBeats bounds the beats of other data centres in a message within
-	// a data centre, so that its own heartbeats have room.
-	maxForeignBeats = 10
+	// maxForeignHeartbeats bounds the heartbeat entries of other data centres in a
+	// message within a data centre, so that its own heartbeats have room.
+	maxForeignHeartbeats = 10
 
-	maxRumours = 64
-	// rumourSends is the number of round messages that repeat a change.
-	rumourSends   = 6
+	maxUpdates = 64
+	// updateSends is the number of round messages that repeat a change.
+	updateSends   = 6
 	maxSeen       = 1024
 	maxTombstones = 1024
-	// Stale gossip about a removed member ends once all others removed it too.
-	tombstoneFactor = 10
-	maxLost         = 32
-	// probeChance is the chance, in a round, to try an address that is not known
-	// to belong to a member. It finds the others again after a partition.
-	probeChance = 0.2
-
-	// introductions bounds the members that a node tells about itself at once when it
-	// starts. After a restart of all nodes, rounds alone took more than a second until
-	// an entry knew an endpoint of each service.
-	introductions = 32
-	// youngFor is how long after its start a node introduces each change of itself.
-	youngFor = 5 * time.Second
+	// tombstoneFactor is the lifetime of a tombstone in multiples of RemoveAfter. Stale
+	// gossip about a removed member ends once all others have removed it too.
+	tombstoneFactor  = 10
+	maxLostAddresses = 32
+	// probeProbability is the probability that a round also sends to an address that
+	// belongs to no member of the table, to find the others again after a partition.
+	probeProbability = 0.2
+
+	// introductionPeers bounds the members to which a node announces itself at once when
+	// it starts. After a restart of all nodes, rounds alone took more than a second until
+	// an entry node had an endpoint of each service in its table.
+	introductionPeers = 32
+	// introductionPeriod is how long after its start a node announces each of its own
+	// changes to as many members.
+	introductionPeriod = 5 * time.Second
 
 	maxGateways  = 4
 	maxEndpoints = 4
-	// Beats of many foreign members arrive seldom, so their removal time grows
-	// with their number, up to maxForeignFactor.
-	foreignPerFactor = 32
-	maxForeignFactor = 6
+	// Heartbeats of many foreign members arrive seldom, so their removal time is
+	// multiplied by their number divided by foreignMembersPerFactor, up to
+	// maxForeignFactor.
+	foreignMembersPerFactor = 32
+	maxForeignFactor        = 6
 )
 
-// Config has what a node knows about itself, and the timing of gossip.
+// Config holds the node's identity and addresses, and the timing of gossip.
 type Config struct {
 	Self         cassiatally.NodeRef
 	DataCentre   cassiatally.DataCentre
@@ -102,11 +106,12 @@
 	RemoveAfter  time.Duration
 }
 
-// passOnFor is how long after its growth a heartbeat is passed on. The last one of
-// a failed member would otherwise go round for seconds.
-func (c Config) passOnFor() time.Duration { return c.SuspectAfter * 2 / 3 }
+// relayPeriod is how long a heartbeat is relayed after it grew. The last one of a
+// failed member would otherwise circulate for seconds.
+func (c Config) relayPeriod() time.Duration { return c.SuspectAfter * 2 / 3 }
 
-// crashID names a crash report, and crashCount tells its news.
+// crashID identifies the crash report of a reporter about a request. crashCount is its
+// content; a report is new when that changed.
 type crashID struct {
 	fingerprint cassiatally.Fingerprint
 	reporter    cassiatally.NodeRef
@@ -116,61 +121,62 @@
 
 // Registrar is the member table of one node.
 type Registrar struct {
-	cfg     Config
-	rand    cassiatally.Rand
-	self    cassiatally.Member
-	epochs  cassiatally.Epoch
-	crashes []cassiatally.CrashReport
-	// told has the crash reports that were sent at once.
-	told      map[crashID]crashCount
-	nextRound cassiatally.Instant
-	// started is when the first event came.
+	cfg           Config
+	rand          cassiatally.Rand
+	self          cassiatally.Member
+	shardEpochSum cassiatally.Epoch
+	crashes       []cassiatally.CrashReport
+	// sentCrashes has the crash reports that were already sent at once.
+	sentCrashes map[crashID]crashCount
+	nextRound   cassiatally.Instant
+	// started is the time of the first event.
 	started cassiatally.Instant
-	// lastEvent is the time of the last message or tick, by which partners are chosen.
+	// lastEvent is the time of the last message or tick; members suspected at that time
+	// are no partners.
 	lastEvent cassiatally.Instant
-	// places has the places of this node on the rings.
-	places         [rings]uint64
+	// ringPositions has the positions of this node on the rings.
+	ringPositions  [rings]uint64
 	local, foreign rotation
 	allowance      int
-	// changes counts what a view shows, but for heartbeats and loads.
+	// changes counts the changes that a view shows, without heartbeats and loads.
 	changes uint64
 	table   map[cassiatally.NodeID]*entry
-	// order has the entries of the table by name.
+	// order has the entries of the table, sorted by name.
 	order []*entry
-	// logScore is that of this node.
-	logScore   uint64
-	tombstones map[cassiatally.NodeID]tombstone
-	asked      map[cassiatally.NodeID]cassiatally.Instant
-	rumours    rumours
-	lost       []cassiatally.Address
+	// logScore orders this node among the log readers.
+	logScore       uint64
+	tombstones     map[cassiatally.NodeID]tombstone
+	queriedAt      map[cassiatally.NodeID]cassiatally.Instant
+	pendingUpdates updateQueue
+	lostAddresses  []cassiatally.Address
 }
 
 type entry struct {
 	member cassiatally.Member
 	grewAt cassiatally.Instant
-	// loadAt is when the member had the load that is known of it.
+	// loadAt is when the member had the load in the entry.
 	loadAt cassiatally.Instant
-	// sent counts the beats sent since the heartbeat last grew.
+	// sent counts the heartbeat entries sent since the heartbeat last grew.
 	sent int
-	// score orders members of other data centres, the lowest being kept.
+	// score orders members of other data centres; those with the lowest are kept.
 	score uint64
-	// places has the places of a member of the own data centre on the rings.
-	places [rings]uint64
+	// ringPositions has the positions of a member of the own data centre on the rings.
+	ringPositions [rings]uint64
 	// logScore orders members of the own data centre as log readers.
 	logScore uint64
 }
 
-// place returns where an entry is, or would be, in the order.
-func (r *Registrar) place(id cassiatally.NodeID) (int, bool) {
+// indexOf returns the index of a member in order, or the one to insert it at.
+func (r *Registrar) indexOf(id cassiatally.NodeID) (int, bool) {
 	return slices.BinarySearchFunc(r.order, id, func(e *entry, id cassiatally.NodeID) int {
 		return cmp.Compare(e.member.Ref.Node, id)
 	})
 }
 
-func (r *Registrar) put(e *entry) {
+func (r *Registrar) putEntry(e *entry) {
 	id := e.member.Ref.Node
 	r.table[id] = e
-	i, found := r.place(id)
+	i, found := r.indexOf(id)
 	if found {
 		r.order[i] = e
 		return
@@ -178,21 +184,21 @@
 	r.order = slices.Insert(r.order, i, e)
 }
 
-func (r *Registrar) forget(id cassiatally.NodeID) {
+func (r *Registrar) deleteEntry(id cassiatally.NodeID) {
 	delete(r.table, id)
-	if i, found := r.place(id); found {
+	if i, found := r.indexOf(id); found {
 		r.order = slices.Delete(r.order, i, i+1)
 	}
 }
 
-// tombstone keeps a removed incarnation from coming back through stale gossip.
+// tombstone prevents stale gossip from adding a removed incarnation again.
 type tombstone struct {
 	ref       cassiatally.NodeRef
 	heartbeat uint64
 	at        cassiatally.Instant
 }
 
-// New returns a registrar that knows only its own node.
+// New returns a registrar whose only member is its own node.
 func New(cfg Config, rand cassiatally.Rand) *Registrar {
 	return &Registrar{
 		cfg:  cfg,
@@ -200,66 +206,69 @@
 		self: cassiatally.Member{
 			Ref: cfg.Self, DataCentre: cfg.DataCentre, Address: cfg.Address, Heartbeat: 1, Revision: 1,
 		},
-		allowance:  allowanceBytes,
-		table:      map[cassiatally.NodeID]*entry{},
-		tombstones: map[cassiatally.NodeID]tombstone{},
-		asked:      map[cassiatally.NodeID]cassiatally.Instant{},
-		rumours:    newRumours(),
-		places:     placesOf(cfg.Self.Node),
-		logScore:   logScoreOf(cfg.DataCentre, cfg.Self.Node),
+		allowance:      allowanceBytes,
+		table:          map[cassiatally.NodeID]*entry{},
+		tombstones:     map[cassiatally.NodeID]tombstone{},
+		queriedAt:      map[cassiatally.NodeID]cassiatally.Instant{},
+		pendingUpdates: newUpdateQueue(),
+		ringPositions:  ringPositionsOf(cfg.Self.Node),
+		logScore:       logScoreOf(cfg.DataCentre, cfg.Self.Node),
 	}
 }
 
-// Changes counts the changes of members, without heartbeats and loads. A view
-// that was taken at the same count differs in those at most.
+// Changes returns the number of changes of members, without heartbeats and loads.
+// Views taken at the same count differ only in heartbeats and loads.
 func (r *Registrar) Changes() uint64 { return r.changes }
 
 // SetEndpoint records the state of the local backend server. A change of
-// anything but the load is spread at once.
+// anything but the load is sent to peers at once.
 func (r *Registrar) SetEndpoint(now cassiatally.Instant, e cassiatally.Endpoint) []cassiatally.Action {
-	r.begin(now)
+	r.recordStart(now)
 	e.Load.Node = r.cfg.Self.Node
 	changed := !sameAnnouncement(r.self.Endpoint, e)
 	r.self.Endpoint = e
 	if !changed {
 		return nil
 	}
-	out := r.changed()
-	if r.young(now) {
-		out = append(out, r.introduceSelf()...)
+	out := r.sendOwnChange()
+	if r.recentlyStarted(now) {
+		out = append(out, r.announceSelf()...)
 	}
 	return out
 }
 
-// Found takes members that a store knows, and introduces this node to them.
+// Found adds members that a store has, and announces this node to them.
 func (r *Registrar) Found(now cassiatally.Instant, members []cassiatally.Member) []cassiatally.Action {
 	r.lastEvent = now
-	r.begin(now)
+	r.recordStart(now)
 	m := merger{Registrar: r, now: now, from: r.cfg.Self}
 	for _, member := range members {
 		m.merge(member, true)
 	}
-	if m.crowded {
+	if m.foreignAdded {
 		r.prune()
 	}
-	return r.introduceSelf()
+	return r.announceSelf()
 }
 
-// begin records when the first event came.
-func (r *Registrar) begin(now cassiatally.Instant) {
+// recordStart records the time of the first event.
+func (r *Registrar) recordStart(now cassiatally.Instant) {
 	if r.started == 0 {
 		r.started = now
 	}
 }
 
-// young reports whether the node started a short time ago.
-func (r *Registrar) young(now cassiatally.Instant) bool { return now.Sub(r.started) < youngFor }
+// recentlyStarted reports whether the introduction period still runs.
+func (r *Registrar) recentlyStarted(now cassiatally.Instant) bool {
+	return now.Sub(r.started) < introductionPeriod
+}
 
-// introduceSelf tells members about this node: those of its data centre first.
-func (r *Registrar) introduceSelf() []cassiatally.Action {
-	ids := r.pick(r.peers(true), introductions)
-	ids = append(ids, r.pick(r.peers(false), introductions-len(ids))...)
-	g := r.gossip([]cassiatally.Member{r.self})
+// announceSelf sends this node's full entry to members, those of its own data centre
+// first.
+func (r *Registrar) announceSelf() []cassiatally.Action {
+	ids := r.pickRandom(r.peers(true), introductionPeers)
+	ids = append(ids, r.pickRandom(r.peers(false), introductionPeers-len(ids))...)
+	g := r.gossipMessage([]cassiatally.Member{r.self})
 	out := make([]cassiatally.Action, 0, len(ids))
 	for _, id := range ids {
 		out = append(out, cassiatally.Send{To: id, Message: g})
@@ -271,24 +280,24 @@
 	return a.Service == b.Service && a.Slots == b.Slots && a.Connections == b.Connections && a.State == b.State
 }
 
-// SetLeaving tells all others that the node takes no new work.
+// SetLeaving announces that the node takes no new work.
 func (r *Registrar) SetLeaving(_ cassiatally.Instant) []cassiatally.Action {
 	if r.self.Leaving {
 		return nil
 	}
 	r.self.Leaving = true
-	return r.changed()
+	return r.sendOwnChange()
 }
 
-func (r *Registrar) changed() []cassiatally.Action {
+func (r *Registrar) sendOwnChange() []cassiatally.Action {
 	r.changes++
 	r.self.Revision++
 	r.self.Heartbeat++
 	return r.forward([]cassiatally.Member{r.self}, true)
 }
 
-// SetSheet records the version in force here and tells it to peers at once. It
-// does not change the revision: all nodes change their version together, and
+// SetSheet records the version in force here and sends it to peers at once.
+// It does not change the revision: all nodes change their version together, and
 // that many full entries would exceed the bound on traffic.
 func (r *Registrar) SetSheet(_ cassiatally.Instant, v cassiatally.Version) []cassiatally.Action {
 	if v <= r.self.Sheet {
@@ -298,25 +307,25 @@
 	return r.forward(nil, true)
 }
 
-// SetShardEpochs records the sum of the shard epochs, which gossip passes on.
-func (r *Registrar) SetShardEpochs(e cassiatally.Epoch) { r.epochs = e }
+// SetShardEpochs records the sum of the shard epochs that gossip messages carry.
+func (r *Registrar) SetShardEpochs(e cassiatally.Epoch) { r.shardEpochSum = e }
 
-// SetCrashes records the crash reports to pass on; the first few are sent. Those
-// that are news are sent at once: a caller that sends the cause again would have
-// more backend servers crash until the next round. Receivers do the same, so that
-// news spreads to all nodes.
+// SetCrashes records the crash reports that rounds carry, the first maxCrashes of
+// them. New ones are sent at once: until the next round, a caller that sends the
+// request again would crash more backend servers. Receivers do the same, so that a
+// new report spreads to all nodes.
 func (r *Registrar) SetCrashes(reports []cassiatally.CrashReport) []cassiatally.Action {
 	r.crashes = slices.Clone(reports[:min(len(reports), maxCrashes)])
-	news := r.newCrashes()
-	if len(news) == 0 {
+	unsent := r.unsentCrashes()
+	if len(unsent) == 0 {
 		return nil
 	}
-	g := r.gossip(nil)
-	g.Crashes = news
+	g := r.gossipMessage(nil)
+	g.Crashes = unsent
 	var out []cassiatally.Action
-	targets := append(r.pick(r.partners(true), crashPeers), r.pick(r.partners(false), foreignPeers)...)
+	targets := append(r.pickRandom(r.partners(true), crashPeers), r.pickRandom(r.partners(false), foreignPeers)...)
 	for _, to := range targets {
-		if !r.spend(crashBytes(news)) {
+		if !r.spendAllowance(crashBytes(unsent)) {
 			break
 		}
 		out = append(out, cassiatally.Send{To: to, Message: g})
@@ -324,108 +333,112 @@
 	return out
 }
 
-// newCrashes returns the reports that were not sent at once before.
-func (r *Registrar) newCrashes() []cassiatally.CrashReport {
-	var news []cassiatally.CrashReport
+// unsentCrashes returns the reports that were not yet sent at once, and records them
+// as sent.
+func (r *Registrar) unsentCrashes() []cassiatally.CrashReport {
+	var unsent []cassiatally.CrashReport
 	for _, c := range r.crashes {
 		id := crashID{c.Fingerprint, c.Reporter}
 		count := crashCount{c.Clears, c.Crashes}
-		if r.told[id] == count {
+		if r.sentCrashes[id] == count {
 			continue
 		}
-		if r.told == nil || len(r.told) >= maxSeen {
-			r.told = make(map[crashID]crashCount)
+		if r.sentCrashes == nil || len(r.sentCrashes) >= maxSeen {
+			r.sentCrashes = make(map[crashID]crashCount)
 		}
-		r.told[id] = count
-		news = append(news, c)
+		r.sentCrashes[id] = count
+		unsent = append(unsent, c)
 	}
-	return news
+	return unsent
 }
 
-// Tick removes silent members and starts a gossip round when it is due.
+// Tick runs a gossip round when it is due: it removes silent members and sends
+// heartbeats, queries and, sometimes, a probe.
 func (r *Registrar) Tick(now cassiatally.Instant) []cassiatally.Action {
 	r.lastEvent = now
-	r.begin(now)
+	r.recordStart(now)
 	if now.Before(r.nextRound) {
 		return nil
 	}
-	// Ticks come late; heartbeats still grow once in an interval.
+	// A tick that is late by less than an interval does not delay the rounds after it,
+	// so that heartbeats still grow once in an interval.
 	r.nextRound = r.nextRound.Add(r.cfg.Interval)
 	if now.Reached(r.nextRound) {
 		r.nextRound = now.Add(r.cfg.Interval)
 	}
 	r.allowance = allowanceBytes
 	r.self.Heartbeat++
-	r.expire(now)
+	r.removeExpired(now)
 	var out []cassiatally.Action
 	for _, to := range r.roundPeers(true) {
-		out = append(out, cassiatally.Send{To: to, Message: r.round(now, true)})
+		out = append(out, cassiatally.Send{To: to, Message: r.roundMessage(now, true)})
 	}
 	for _, to := range r.roundPeers(false) {
-		out = append(out, cassiatally.Send{To: to, Message: r.round(now, false)})
+		out = append(out, cassiatally.Send{To: to, Message: r.roundMessage(now, false)})
 	}
-	out = append(out, r.ask(now)...)
+	out = append(out, r.queryHeartbeats(now)...)
 	return append(out, r.probe()...)
 }
 
-// ask asks a partner for the heartbeats of the members of the own data centre that
-// were silent lately, and each of them that would soon be suspected directly.
-// Beats alone leave a tenth of 132 members suspected. Direct queries alone were
-// 40 of the 47 messages a second of a node, and used links to all members.
-func (r *Registrar) ask(now cassiatally.Instant) []cassiatally.Action {
-	silent := r.silent(now)
-	c := composer{room: maxReplyBytes, entries: maxPulled}
+// queryHeartbeats queries a partner for the heartbeats of the silent members of the
+// own data centre, and queries directly each member that would soon be suspected.
+// With heartbeat entries alone a tenth of 132 members was suspected. Direct queries
+// alone were 40 of a node's 47 messages a second, and used links to all members.
+func (r *Registrar) queryHeartbeats(now cassiatally.Instant) []cassiatally.Action {
+	silent := r.silentMembers(now)
+	c := composer{maxBytes: maxReplyBytes, maxEntries: maxPartnerQueries}
 	var direct []cassiatally.Member
 	for _, e := range silent {
 		query := cassiatally.Member{Ref: e.member.Ref, Revision: e.member.Revision}
 		if !r.suspected(now, e) {
 			c.add(query)
 		}
-		if now.Sub(e.grewAt) >= r.suspectAfter()-lastQuery*r.cfg.Interval/2 && len(direct) < maxAsked {
+		if now.Sub(e.grewAt) >= r.suspectAfter()-directQueryHalfIntervals*r.cfg.Interval/2 && len(direct) < maxDirectQueries {
 			direct = append(direct, query)
 		}
 	}
 	var out []cassiatally.Action
 	if len(c.members) > 0 {
-		for _, to := range r.pick(r.partners(true), 1) {
-			if r.spend(c.taken) {
-				out = append(out, cassiatally.Send{To: to, Message: r.gossip(c.members)})
+		for _, to := range r.pickRandom(r.partners(true), 1) {
+			if r.spendAllowance(c.usedBytes) {
+				out = append(out, cassiatally.Send{To: to, Message: r.gossipMessage(c.members)})
 			}
 		}
 	}
 	for _, query := range direct {
-		if !r.spend(sizeOf(query)) {
+		if !r.spendAllowance(sizeOf(query)) {
 			break
 		}
-		out = append(out, cassiatally.Send{To: query.Ref.Node, Message: r.gossip([]cassiatally.Member{query})})
+		out = append(out, cassiatally.Send{To: query.Ref.Node, Message: r.gossipMessage([]cassiatally.Member{query})})
 	}
 	return out
 }
 
-// silent returns the members of the own data centre that were silent lately, the
-// most silent first, but suspects last: the members of a rack that failed must not
-// take the queries for others.
-func (r *Registrar) silent(now cassiatally.Instant) []*entry {
+// silentMembers returns the members of the own data centre whose heartbeat has not
+// grown for half of SuspectAfter, longest first, but suspects last: the members of a
+// failed rack must not use up the queries for others.
+func (r *Registrar) silentMembers(now cassiatally.Instant) []*entry {
 	var out []*entry
 	for _, e := range r.table {
 		if e.member.DataCentre == r.cfg.DataCentre && now.Sub(e.grewAt) >= r.cfg.SuspectAfter/2 {
 			out = append(out, e)
 		}
 	}
-	late := func(e *entry) int {
+	suspectLast := func(e *entry) int {
 		if r.suspected(now, e) {
 			return 1
 		}
 		return 0
 	}
 	slices.SortFunc(out, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(late(a), late(b)), cmp.Compare(a.grewAt, b.grewAt), cmp.Compare(a.member.Ref.Node, b.member.Ref.Node))
+		return cmp.Or(cmp.Compare(suspectLast(a), suspectLast(b)), cmp.Compare(a.grewAt, b.grewAt), cmp.Compare(a.member.Ref.Node, b.member.Ref.Node))
 	})
 	return out
 }
 
-// spend takes the estimated size of a message out of the allowance.
-func (r *Registrar) spend(size int) bool {
+// spendAllowance deducts the estimated size of a message from the allowance. It
+// reports whether there was enough left.
+func (r *Registrar) spendAllowance(size int) bool {
 	size += messageBytes
 	if size > r.allowance {
 		return false
@@ -434,54 +447,54 @@
 	return true
 }
 
-// probe tries an address whose owner is not known: always when the node is
-// alone, now and then otherwise.
+// probe sends this node's entry to a seed or lost address that belongs to no member of
+// the table: always when the table is empty, otherwise with probeProbability.
 func (r *Registrar) probe() []cassiatally.Action {
-	known := map[cassiatally.Address]bool{r.cfg.Address: true}
+	taken := map[cassiatally.Address]bool{r.cfg.Address: true}
 	for _, e := range r.table {
-		known[e.member.Address] = true
+		taken[e.member.Address] = true
 	}
-	var unknown []cassiatally.Address
-	for _, a := range slices.Concat(r.cfg.Seeds, r.lost) {
-		if !known[a] {
-			unknown = append(unknown, a)
+	var free []cassiatally.Address
+	for _, a := range slices.Concat(r.cfg.Seeds, r.lostAddresses) {
+		if !taken[a] {
+			free = append(free, a)
 		}
 	}
-	if len(unknown) == 0 || (len(r.table) > 0 && r.rand.Float64() >= probeChance) {
+	if len(free) == 0 || (len(r.table) > 0 && r.rand.Float64() >= probeProbability) {
 		return nil
 	}
-	to := unknown[r.rand.IntN(len(unknown))]
-	return []cassiatally.Action{cassiatally.SendAddress{To: to, Message: r.gossip([]cassiatally.Member{r.self})}}
+	to := free[r.rand.IntN(len(free))]
+	return []cassiatally.Action{cassiatally.SendAddress{To: to, Message: r.gossipMessage([]cassiatally.Member{r.self})}}
 }
 
-func (r *Registrar) gossip(members []cassiatally.Member) cassiatally.Gossip {
-	return cassiatally.Gossip{From: r.cfg.Self, Members: members, Sheet: r.self.Sheet, ShardEpochs: r.epochs}
+func (r *Registrar) gossipMessage(members []cassiatally.Member) cassiatally.Gossip {
+	return cassiatally.Gossip{From: r.cfg.Self, Members: members, Sheet: r.self.Sheet, ShardEpochs: r.shardEpochSum}
 }
 
-// round composes the message of a gossip round: this node, recent changes, and
-// the freshest beats that were sent least often.
-func (r *Registrar) round(now cassiatally.Instant, local bool) cassiatally.Gossip {
+// roundMessage composes the message of a gossip round: this node, recent changes, and
+// fresh heartbeats, those sent least often first.
+func (r *Registrar) roundMessage(now cassiatally.Instant, local bool) cassiatally.Gossip {
 	room := maxForeignBytes
 	if local {
 		room = maxLocalBytes
 	}
-	c := composer{room: room, entries: maxEntries, taken: crashBytes(r.crashes)}
-	if local && !r.tellsLoad(r.self.Heartbeat) {
-		c.add(r.beatOf(r.self, true))
+	c := composer{maxBytes: room, maxEntries: maxEntries, usedBytes: crashBytes(r.crashes)}
+	if local && !r.carriesLoad(r.self.Heartbeat) {
+		c.add(r.heartbeatEntry(r.self, true))
 	} else {
-		// A receiver that does not know this node needs the address to answer.
+		// A receiver without an entry of this node needs the address to answer.
 		c.add(r.self)
 	}
-	for _, m := range r.rumours.next(room / 2) {
+	for _, m := range r.pendingUpdates.next(room / 2) {
 		c.add(m)
 	}
 	foreign := 0
-	for _, e := range r.freshest(now) {
+	for _, e := range r.freshEntries(now) {
 		own := e.member.DataCentre == r.cfg.DataCentre
-		if !own && foreign == maxForeignBeats {
+		if !own && foreign == maxForeignHeartbeats {
 			continue
 		}
-		if !c.add(r.beatOf(e.member, local && own)) {
+		if !c.add(r.heartbeatEntry(e.member, local && own)) {
 			break
 		}
 		e.sent++
@@ -489,20 +502,20 @@
 			foreign++
 		}
 	}
-	g := r.gossip(c.members)
+	g := r.gossipMessage(c.members)
 	g.Crashes = r.crashes
 	return g
 }
 
-// tellsLoad reports whether the message of a heartbeat carries the load.
-func (r *Registrar) tellsLoad(heartbeat uint64) bool {
+// carriesLoad reports whether the entry with this heartbeat includes the load.
+func (r *Registrar) carriesLoad(heartbeat uint64) bool {
 	return heartbeat%uint64(1+len(r.table)/membersPerLoad) == 0
 }
 
-func (r *Registrar) freshest(now cassiatally.Instant) []*entry {
+func (r *Registrar) freshEntries(now cassiatally.Instant) []*entry {
 	var fresh []*entry
 	for _, e := range r.table {
-		if now.Sub(e.grewAt) < r.cfg.passOnFor() {
+		if now.Sub(e.grewAt) < r.cfg.relayPeriod() {
 			fresh = append(fresh, e)
 		}
 	}
@@ -512,7 +525,7 @@
 	return fresh
 }
 
-// peers returns the members of the own data centre, or of all others, by name.
+// peers returns the members of the own data centre, or of all others, sorted by name.
 func (r *Registrar) peers(local bool) []cassiatally.NodeID {
 	var ids []cassiatally.NodeID
 	for _, e := range r.order {
@@ -523,7 +536,7 @@
 	return ids
 }
 
-func (r *Registrar) pick(ids []cassiatally.NodeID, n int) []cassiatally.NodeID {
+func (r *Registrar) pickRandom(ids []cassiatally.NodeID, n int) []cassiatally.NodeID {
 	n = min(n, len(ids))
 	for i := range n {
 		j := i + r.rand.IntN(len(ids)-i)
@@ -532,33 +545,35 @@
 	return ids[:n]
 }
 
-// forward sends changes to a few peers at once, within the allowance.
-func (r *Registrar) forward(news []cassiatally.Member, own bool) []cassiatally.Action {
-	for _, m := range news {
-		r.rumours.add(m)
+// forward sends changes to a few peers at once, within the allowance. Changes of
+// this node itself always go to another data centre, too.
+func (r *Registrar) forward(changed []cassiatally.Member, own bool) []cassiatally.Action {
+	for _, m := range changed {
+		r.pendingUpdates.add(m)
 	}
-	c := composer{room: maxReplyBytes, entries: maxEntries}
-	for _, m := range news {
+	c := composer{maxBytes: maxReplyBytes, maxEntries: maxEntries}
+	for _, m := range changed {
 		c.add(m)
 	}
-	to := r.pick(r.partners(true), eagerPeers)
+	to := r.pickRandom(r.partners(true), eagerPeers)
 	if own || r.rand.IntN(eagerForeign) == 0 {
-		to = append(to, r.pick(r.partners(false), foreignPeers)...)
+		to = append(to, r.pickRandom(r.partners(false), foreignPeers)...)
 	}
 	var out []cassiatally.Action
 	for _, id := range to {
-		if !r.spend(c.taken) {
+		if !r.spendAllowance(c.usedBytes) {
 			break
 		}
-		out = append(out, cassiatally.Send{To: id, Message: r.gossip(c.members)})
+		out = append(out, cassiatally.Send{To: id, Message: r.gossipMessage(c.members)})
 	}
 	return out
 }
 
-// expire removes members whose heartbeat stopped and forgets old tombstones.
-func (r *Registrar) expire(now cassiatally.Instant) {
+// removeExpired removes members whose heartbeat stopped, expired tombstones and
+// queries older than an interval.
+func (r *Registrar) removeExpired(now cassiatally.Instant) {
 	lastSeen, foreign := r.lastSeen()
-	factor := min(max(foreign/foreignPerFactor, 1), maxForeignFactor)
+	factor := min(max(foreign/foreignMembersPerFactor, 1), maxForeignFactor)
 	for _, e := range slices.Clone(r.order) {
 		limit := r.cfg.RemoveAfter
 		silent := now.Sub(lastSeen[e.member.DataCentre]) >= limit
@@ -572,12 +587,12 @@
 	maps.DeleteFunc(r.tombstones, func(_ cassiatally.NodeID, t tombstone) bool {
 		return now.Sub(t.at) >= tombstoneFactor*r.cfg.RemoveAfter
 	})
-	maps.DeleteFunc(r.asked, func(_ cassiatally.NodeID, at cassiatally.Instant) bool {
+	maps.DeleteFunc(r.queriedAt, func(_ cassiatally.NodeID, at cassiatally.Instant) bool {
 		return now.Sub(at) >= r.cfg.Interval
 	})
 }
 
-// lastSeen returns when each data centre last showed life, and the number of
+// lastSeen returns when a heartbeat of each data centre last grew, and the number of
 // members of other data centres.
 func (r *Registrar) lastSeen() (map[cassiatally.DataCentre]cassiatally.Instant, int) {
 	last, foreign := map[cassiatally.DataCentre]cassiatally.Instant{}, 0
@@ -596,26 +611,26 @@
 func (r *Registrar) remove(now cassiatally.Instant, e *entry) {
 	id := e.member.Ref.Node
 	r.changes++
-	r.forget(id)
-	r.rumours.drop(id)
+	r.deleteEntry(id)
+	r.pendingUpdates.drop(id)
 	if len(r.tombstones) < maxTombstones {
 		r.tombstones[id] = tombstone{e.member.Ref, e.member.Heartbeat, now}
 	}
-	if e.member.Leaving || slices.Contains(r.lost, e.member.Address) {
+	if e.member.Leaving || slices.Contains(r.lostAddresses, e.member.Address) {
 		return
 	}
-	if len(r.lost) == maxLost {
-		// A random one makes room, so that addresses of several data centres stay.
-		i := r.rand.IntN(maxLost)
-		r.lost = slices.Delete(r.lost, i, i+1)
+	if len(r.lostAddresses) == maxLostAddresses {
+		// The address to evict is random, so that addresses of several data centres stay.
+		i := r.rand.IntN(maxLostAddresses)
+		r.lostAddresses = slices.Delete(r.lostAddresses, i, i+1)
 	}
-	r.lost = append(r.lost, e.member.Address)
+	r.lostAddresses = append(r.lostAddresses, e.member.Address)
 }
 
-// buried reports whether an entry is stale gossip about a removed member. A
-// member that was only cut off or paused comes back when it speaks for itself,
-// or when its heartbeat grew by more than could be under way at its removal.
-func (r *Registrar) buried(m cassiatally.Member, from cassiatally.NodeRef) bool {
+// blockedByTombstone reports whether an entry is stale gossip about a removed member.
+// A member that was only partitioned or paused is added again when it sends its own
+// entry, or when its heartbeat grew by more than could be in flight at its removal.
+func (r *Registrar) blockedByTombstone(m cassiatally.Member, from cassiatally.NodeRef) bool {
 	t, found := r.tombstones[m.Ref.Node]
 	if !found || m.Ref == from || m.Ref.Incarnation > t.ref.Incarnation {
 		return false
--- a/cassiatally/registrar/registrar_test.go
+++ b/cassiatally/registrar/registrar_test.go
@@ -22,8 +22,8 @@
 	return start("a", "10.0.0.1:1", "10.0.0.2:1"), start("b", "10.0.0.2:1", "10.0.0.1:1")
 }
 
-// Guards against a node that cannot join because it knows only an address, one
-// that takes its own message for a newcomer's, and versions told only in rounds.
+// Guards against a node that cannot join through a seed address alone, a node that
+// treats its own message as a newcomer's, and sheet versions that wait for a round.
 func TestJoinBySeedAddress(t *testing.T) {
 	is := is.New(t)
 	a, b := twoNodes()
@@ -39,19 +39,19 @@
 			a.HandleGossip(0, reply.From, reply)
 		}
 	}
-	address, known := a.View(0).Address("b")
-	is.True(known)
+	address, found := a.View(0).Address("b")
+	is.True(found)
 	is.Equal(address, cassiatally.Address("10.0.0.2:1"))
 	is.Equal(len(a.View(0).LogReaders), 2)
 	is.Equal(a.View(0).LogReaders, b.View(0).LogReaders)
-	told := a.SetSheet(0, 7)
-	is.Equal(len(told), 1)
-	is.Equal(told[0].(cassiatally.Send).Message.(cassiatally.Gossip).Sheet, cassiatally.Version(7))
+	sent := a.SetSheet(0, 7)
+	is.Equal(len(sent), 1)
+	is.Equal(sent[0].(cassiatally.Send).Message.(cassiatally.Gossip).Sheet, cassiatally.Version(7))
 	is.Equal(len(a.SetSheet(0, 6)), 0)
 }
 
-// Guards against stale gossip that revives a removed member, and against a
-// tombstone that keeps out a member that was only paused.
+// Guards against stale gossip that adds a removed member again, and against a
+// tombstone that blocks a member that was only paused.
 func TestTombstone(t *testing.T) {
 	member := func(heartbeat uint64, inc cassiatally.Incarnation) cassiatally.Member {
 		return cassiatally.Member{
@@ -60,13 +60,13 @@
 		}
 	}
 	cases := []struct {
-		name string
-		from cassiatally.NodeRef
-		in   cassiatally.Member
-		back bool
+		name  string
+		from  cassiatally.NodeRef
+		in    cassiatally.Member
+		added bool
 	}{
 		{"the same heartbeat", cassiatally.NodeRef{Node: "c"}, member(50, 7), false},
-		{"a heartbeat that was under way", cassiatally.NodeRef{Node: "c"}, member(55, 7), false},
+		{"a heartbeat that was in flight", cassiatally.NodeRef{Node: "c"}, member(55, 7), false},
 		{"an older incarnation", cassiatally.NodeRef{Node: "c"}, member(900, 6), false},
 		{"a heartbeat that grew since", cassiatally.NodeRef{Node: "c"}, member(60, 7), true},
 		{"the member itself", cassiatally.NodeRef{Node: "b", Incarnation: 7}, member(51, 7), true},
@@ -86,14 +86,15 @@
 			r.Tick(now)
 			is.Equal(len(r.View(now).Members), 1)
 			r.HandleGossip(now, c.from, cassiatally.Gossip{Members: []cassiatally.Member{c.in}})
-			is.Equal(len(r.View(now).Members) == 2, c.back)
+			is.Equal(len(r.View(now).Members) == 2, c.added)
 		})
 	}
 }
 
-// Guards against news of a crash that waits for a round, while the cause crashes
-// more backend servers, and against reports that are sent at once again and again.
-func TestNewsOfCrashesIsSentAtOnce(t *testing.T) {
+// Guards against a new crash report that waits for a round, while the request that
+// caused the crash reaches more backend servers, and against reports that are sent at
+// once more than once.
+func TestCrashReportsAreSentAtOnce(t *testing.T) {
 	is := is.New(t)
 	a, b := twoNodes()
 	probe := a.Tick(0)[0].(cassiatally.SendAddress).Message.(cassiatally.Gossip)
@@ -105,15 +106,15 @@
 	}
 	first := cassiatally.CrashReport{Fingerprint: 1, Reporter: probe.From, Crashes: 1}
 	second := cassiatally.CrashReport{Fingerprint: 2, Reporter: probe.From, Crashes: 1}
-	is.Equal(newsTo(is, "b", a.SetCrashes([]cassiatally.CrashReport{first})), []cassiatally.CrashReport{first})
+	is.Equal(crashReportsTo(is, "b", a.SetCrashes([]cassiatally.CrashReport{first})), []cassiatally.CrashReport{first})
 	is.Equal(len(a.SetCrashes([]cassiatally.CrashReport{first})), 0)
-	is.Equal(newsTo(is, "b", a.SetCrashes([]cassiatally.CrashReport{first, second})), []cassiatally.CrashReport{second})
+	is.Equal(crashReportsTo(is, "b", a.SetCrashes([]cassiatally.CrashReport{first, second})), []cassiatally.CrashReport{second})
 	first.Crashes = 2
-	is.Equal(newsTo(is, "b", a.SetCrashes([]cassiatally.CrashReport{second, first})), []cassiatally.CrashReport{first})
+	is.Equal(crashReportsTo(is, "b", a.SetCrashes([]cassiatally.CrashReport{second, first})), []cassiatally.CrashReport{first})
 	is.Equal(len(a.SetCrashes(nil)), 0)
 }
 
-func newsTo(is *is.I, to cassiatally.NodeID, actions []cassiatally.Action) []cassiatally.CrashReport {
+func crashReportsTo(is *is.I, to cassiatally.NodeID, actions []cassiatally.Action) []cassiatally.CrashReport {
 	is.Helper()
 	is.Equal(len(actions), 1)
 	send := actions[0].(cassiatally.Send)
@@ -121,9 +122,9 @@
 	return send.Message.(cassiatally.Gossip).Crashes
 }
 
-// Guards against a fleet that restarts at once and needs rounds of gossip until an
-// entry knows the endpoints of all members.
-func TestFoundMembersAreToldAtOnce(t *testing.T) {
+// Guards against a restart of all nodes after which it takes rounds of gossip until an
+// entry node has the endpoints of all members.
+func TestStoredMembersAreInformedAtOnce(t *testing.T) {
 	is := is.New(t)
 	const now = cassiatally.Instant(time.Hour)
 	member := func(n int, dc cassiatally.DataCentre) cassiatally.Member {
@@ -132,28 +133,28 @@
 			Ref: cassiatally.NodeRef{Node: id, Incarnation: 1}, DataCentre: dc, Address: cassiatally.Address(fmt.Sprint("a", n)), Heartbeat: 1, Revision: 1,
 		}
 	}
-	var found []cassiatally.Member
+	var stored []cassiatally.Member
 	for n := range 8 {
-		found = append(found, member(n, []cassiatally.DataCentre{"here", "there"}[n%2]))
+		stored = append(stored, member(n, []cassiatally.DataCentre{"here", "there"}[n%2]))
 	}
 	r := registrar.New(registrar.Config{
-		Self: found[0].Ref, DataCentre: "here", Address: found[0].Address, Interval: time.Second, SuspectAfter: 3 * time.Second, RemoveAfter: 10 * time.Second,
+		Self: stored[0].Ref, DataCentre: "here", Address: stored[0].Address, Interval: time.Second, SuspectAfter: 3 * time.Second, RemoveAfter: 10 * time.Second,
 	}, rand.New(rand.NewPCG(1, 2)))
-	told := func(actions []cassiatally.Action) map[cassiatally.NodeID]cassiatally.Endpoint {
+	announcements := func(actions []cassiatally.Action) map[cassiatally.NodeID]cassiatally.Endpoint {
 		out := map[cassiatally.NodeID]cassiatally.Endpoint{}
 		for _, a := range actions {
 			s := a.(cassiatally.Send)
 			for _, m := range s.Message.(cassiatally.Gossip).Members {
-				if m.Ref == found[0].Ref {
+				if m.Ref == stored[0].Ref {
 					out[s.To] = m.Endpoint
 				}
 			}
 		}
 		return out
 	}
-	is.Equal(len(told(r.Found(now, found))), 7)
+	is.Equal(len(announcements(r.Found(now, stored))), 7)
 	ready := cassiatally.Endpoint{Service: "depot-svc", Slots: 5, State: cassiatally.EndpointReady}
-	is.Equal(len(told(r.SetEndpoint(now, ready))), 7)
+	is.Equal(len(announcements(r.SetEndpoint(now, ready))), 7)
 	ready.Slots = 6
-	is.True(len(told(r.SetEndpoint(now.Add(time.Minute), ready))) < 7) // later, gossip spreads it
+	is.True(len(announcements(r.SetEndpoint(now.Add(time.Minute), ready))) < 7) // later, gossip spreads it
 }
--- a/cassiatally/registrar/updates.go
+++ b/cassiatally/registrar/updates.go
@@ -6,95 +6,95 @@
 	"github.com/cassiatally/cassiatally/cassiatally"
 )
 
-// rumours holds recent changes that rounds repeat, the latest first, and
-// remembers which changes were already passed on. It also holds changes of
-// members that this node does not keep, since its peers may keep them.
-type rumours struct {
-	active []rumour
-	seen   map[cassiatally.NodeRef]uint64
-	order  []cassiatally.NodeRef
+// updateQueue holds recent changes that rounds repeat, the latest first, and records
+// which changes were already forwarded. It also holds changes of members that are
+// not in this node's table, since its peers may have them.
+type updateQueue struct {
+	active       []queuedUpdate
+	forwarded    map[cassiatally.NodeRef]uint64
+	forwardOrder []cassiatally.NodeRef
 }
 
-type rumour struct {
-	member cassiatally.Member
-	left   int
+type queuedUpdate struct {
+	member    cassiatally.Member
+	sendsLeft int
 }
 
-func newRumours() rumours {
-	return rumours{seen: map[cassiatally.NodeRef]uint64{}}
+func newUpdateQueue() updateQueue {
+	return updateQueue{forwarded: map[cassiatally.NodeRef]uint64{}}
 }
 
-func (r *rumours) isNews(m cassiatally.Member) bool { return m.Revision > r.seen[m.Ref] }
+func (r *updateQueue) isNew(m cassiatally.Member) bool { return m.Revision > r.forwarded[m.Ref] }
 
-func (r *rumours) add(m cassiatally.Member) {
-	if _, found := r.seen[m.Ref]; !found {
-		if len(r.order) == maxSeen {
-			delete(r.seen, r.order[0])
-			r.order = r.order[1:]
+func (r *updateQueue) add(m cassiatally.Member) {
+	if _, found := r.forwarded[m.Ref]; !found {
+		if len(r.forwardOrder) == maxSeen {
+			delete(r.forwarded, r.forwardOrder[0])
+			r.forwardOrder = r.forwardOrder[1:]
 		}
-		r.order = append(r.order, m.Ref)
+		r.forwardOrder = append(r.forwardOrder, m.Ref)
 	}
-	r.seen[m.Ref] = m.Revision
+	r.forwarded[m.Ref] = m.Revision
 	r.drop(m.Ref.Node)
-	r.active = slices.Insert(r.active, 0, rumour{m, rumourSends})
-	r.active = r.active[:min(len(r.active), maxRumours)]
+	r.active = slices.Insert(r.active, 0, queuedUpdate{m, updateSends})
+	r.active = r.active[:min(len(r.active), maxUpdates)]
 }
 
-func (r *rumours) drop(id cassiatally.NodeID) {
-	r.active = slices.DeleteFunc(r.active, func(x rumour) bool { return x.member.Ref.Node == id })
+func (r *updateQueue) drop(id cassiatally.NodeID) {
+	r.active = slices.DeleteFunc(r.active, func(x queuedUpdate) bool { return x.member.Ref.Node == id })
 }
 
-// next returns the changes for one message and counts them as sent.
-func (r *rumours) next(room int) []cassiatally.Member {
-	c := composer{room: room, entries: maxEntries}
+// next returns the changes for one message and counts the sending.
+func (r *updateQueue) next(room int) []cassiatally.Member {
+	c := composer{maxBytes: room, maxEntries: maxEntries}
 	for i := range r.active {
 		if !c.add(r.active[i].member) {
 			break
 		}
-		r.active[i].left--
+		r.active[i].sendsLeft--
 	}
-	r.active = slices.DeleteFunc(r.active, func(x rumour) bool { return x.left <= 0 })
+	r.active = slices.DeleteFunc(r.active, func(x queuedUpdate) bool { return x.sendsLeft <= 0 })
 	return c.members
 }
 
 const (
-	// membersPerLoad is the number of members for which each heartbeat can tell
-	// the load. With 132 members, loads in each would not fit into the messages of
-	// a second, so one heartbeat of four tells it; answers carry fresher loads to
-	// those who call.
+	// membersPerLoad is the number of members up to which each heartbeat can carry the
+	// load. With 132 members, loads in each would not fit into the messages of a second,
+	// so one heartbeat in four carries it; callers get fresher loads with answers.
 	membersPerLoad = 40
 
-	// The bytes of a frame and of an entry without its texts, measured with the
-	// codec and rounded up. Decisions import no codec, so they estimate.
-	messageBytes = 34
-	fullBytes    = 56
-	beatBytes    = 26
-	loadBytes    = 20
-	levelBytes   = 9
-	sheetBytes   = 4
-	reportBytes  = 36
+	// The bytes of a frame, and of entries and their parts without texts, as the codec
+	// encodes them, rounded up. Decision packages import no codec, so sizes are
+	// estimated.
+	messageBytes   = 34
+	fullBytes      = 56
+	heartbeatBytes = 26
+	loadBytes      = 20
+	levelBytes     = 9
+	sheetBytes     = 4
+	reportBytes    = 36
 )
 
-// composer collects entries up to a number of estimated bytes.
+// composer collects the entries of a message up to a number of estimated bytes.
 type composer struct {
-	members []cassiatally.Member
-	room    int
-	entries int
-	taken   int
+	members    []cassiatally.Member
+	maxBytes   int
+	maxEntries int
+	usedBytes  int
 }
 
 func (c *composer) add(m cassiatally.Member) bool {
 	size := sizeOf(m)
-	if c.taken+size > c.room || len(c.members) == c.entries {
+	if c.usedBytes+size > c.maxBytes || len(c.members) == c.maxEntries {
 		return false
 	}
-	c.taken += size
+	c.usedBytes += size
 	c.members = append(c.members, m)
 	return true
 }
 
 func sizeOf(m cassiatally.Member) int {
-	size := beatBytes
+	size := heartbeatBytes
 	if m.Address != "" {
 		size = fullBytes
 	}
@@ -116,34 +116,35 @@
 	return size
 }
 
-// beatOf returns the entry that tells a heartbeat. Within a data centre it
-// leaves out what the receiver has; others need it to decide whether to ask.
-func (r *Registrar) beatOf(m cassiatally.Member, within bool) cassiatally.Member {
-	// A changed version makes no new revision, so each beat tells it.
-	beat := cassiatally.Member{Ref: m.Ref, Heartbeat: m.Heartbeat, Revision: m.Revision, Sheet: m.Sheet}
-	if r.tellsLoad(m.Heartbeat) {
-		beat.Endpoint.Load = m.Endpoint.Load
-		beat.Endpoint.Load.Node = ""
-		beat.Endpoint.Levels = levelsTo(m.Endpoint.Levels)
+// heartbeatEntry returns the heartbeat entry of a member. Within a data centre it
+// leaves out the data centre and the service, which the receiver has; receivers in
+// others need them to decide whether to query the full entry.
+func (r *Registrar) heartbeatEntry(m cassiatally.Member, within bool) cassiatally.Member {
+	// A changed sheet version makes no new revision, so each heartbeat carries it.
+	out := cassiatally.Member{Ref: m.Ref, Heartbeat: m.Heartbeat, Revision: m.Revision, Sheet: m.Sheet}
+	if r.carriesLoad(m.Heartbeat) {
+		out.Endpoint.Load = m.Endpoint.Load
+		out.Endpoint.Load.Node = ""
+		out.Endpoint.Levels = compactLevels(m.Endpoint.Levels)
 	}
 	if !within {
-		beat.DataCentre = m.DataCentre
-		beat.Endpoint.Service = m.Endpoint.Service
+		out.DataCentre = m.DataCentre
+		out.Endpoint.Service = m.Endpoint.Service
 	}
-	return beat
+	return out
 }
 
-// levelsTo leaves the levels out when none is below 1.
-func levelsTo(levels []cassiatally.Level) []cassiatally.Level {
+// compactLevels leaves the levels out when none is below 1.
+func compactLevels(levels []cassiatally.Level) []cassiatally.Level {
 	if slices.ContainsFunc(levels, func(l cassiatally.Level) bool { return l < 1 }) {
 		return levels
 	}
 	return nil
 }
 
-func levelsFrom(levels []cassiatally.Level, known int) []cassiatally.Level {
-	if len(levels) > 0 || known == 0 {
+func expandLevels(levels []cassiatally.Level, ranks int) []cassiatally.Level {
+	if len(levels) > 0 || ranks == 0 {
 		return levels
 	}
-	return slices.Repeat([]cassiatally.Level{1}, known)
+	return slices.Repeat([]cassiatally.Level{1}, ranks)
 }
--- a/cassiatally/registrar/view.go
+++ b/cassiatally/registrar/view.go
@@ -12,11 +12,11 @@
 
 const (
 	logReaders = 2
-	// suspectPerMember is added to the time of suspicion for each known member.
+	// suspectPerMember is added to SuspectAfter for each member of the table.
 	suspectPerMember = 20 * time.Millisecond
 )
 
-// Load is what an endpoint last told about its levels.
+// Load is the last load that an endpoint reported.
 type Load struct {
 	Node cassiatally.NodeID
 	// At is when the endpoint had this load.
@@ -24,25 +24,27 @@
 	Load cassiatally.ServiceLoad
 }
 
-// Summary adds up the endpoints of a service in a data centre that are known.
+// Summary aggregates the candidates of a service in a data centre.
 type Summary struct {
 	Service    cassiatally.Service
 	DataCentre cassiatally.DataCentre
 	Endpoints  int
 	Capacity   cassiatally.Concurrency
-	// Level is the mean of the lowest levels, weighted with the limits.
+	// Level is the mean of the endpoints' lowest levels, weighted with their limits.
 	Level cassiatally.Level
 }
 
 // View is an immutable snapshot of the member table.
 type View struct {
-	// Members has all known members, this node included, by name.
+	// Members has all members of the table and this node, sorted by name.
 	Members []cassiatally.Member
 	// Suspects has the members whose heartbeat stopped.
 	Suspects []cassiatally.NodeRef
-	// Candidates leaves out suspects, unless all endpoints of a service are.
+	// Candidates leaves out suspects, unless all ready endpoints of a service are
+	// suspects.
 	Candidates []cassiatally.Candidate
-	// Local has the live members of the own data centre that are not leaving.
+	// Local has the members of the own data centre that are neither suspected nor
+	// leaving.
 	Local []cassiatally.NodeRef
 	// LogReaders are the members of Local that follow the log.
 	LogReaders []cassiatally.NodeRef
@@ -50,7 +52,7 @@
 	Summaries  []Summary
 }
 
-// Address returns where other nodes connect to the node.
+// Address returns the address at which a node accepts links.
 func (v *View) Address(id cassiatally.NodeID) (cassiatally.Address, bool) {
 	i, found := slices.BinarySearchFunc(v.Members, id, func(m cassiatally.Member, id cassiatally.NodeID) int {
 		return cmp.Compare(m.Ref.Node, id)
@@ -61,8 +63,8 @@
 	return v.Members[i].Address, true
 }
 
-// Peers returns the nodes other than self that have an endpoint of each service,
-// those included whose backend server is about to start again.
+// Peers returns, for each service, the nodes other than self that have an endpoint of
+// it. Nodes whose backend server is restarting are included.
 func (v *View) Peers(self cassiatally.NodeRef) map[cassiatally.Service][]cassiatally.NodeID {
 	peers := make(map[cassiatally.Service][]cassiatally.NodeID)
 	for i := range v.Members {
@@ -76,7 +78,7 @@
 	return peers
 }
 
-// View returns a snapshot. Entries are kept in order, so that it is one pass.
+// View returns a snapshot of the member table, in one pass over the sorted entries.
 func (r *Registrar) View(now cassiatally.Instant) *View {
 	v := &View{
 		Members:    make([]cassiatally.Member, 0, len(r.order)+1),
@@ -84,16 +86,16 @@
 		Loads:      make([]Load, 0, len(r.order)+1),
 	}
 	self := &entry{member: r.self, grewAt: now, loadAt: now, logScore: r.logScore}
-	all := make([]shown, 0, len(r.order)+1)
-	at, _ := r.place(r.cfg.Self.Node)
+	all := make([]viewEntry, 0, len(r.order)+1)
+	at, _ := r.indexOf(r.cfg.Self.Node)
 	for i, e := range r.order {
 		if i == at {
-			all = append(all, shown{entry: self})
+			all = append(all, viewEntry{entry: self})
 		}
-		all = append(all, shown{entry: e, suspect: r.suspected(now, e)})
+		all = append(all, viewEntry{entry: e, suspect: r.suspected(now, e)})
 	}
 	if at == len(r.order) {
-		all = append(all, shown{entry: self})
+		all = append(all, viewEntry{entry: self})
 	}
 	var local []*entry
 	for _, s := range all {
@@ -112,13 +114,13 @@
 	return v
 }
 
-// shown is an entry as a view shows it.
-type shown struct {
+// viewEntry is an entry and whether it is suspected at the time of the view.
+type viewEntry struct {
 	entry   *entry
 	suspect bool
 }
 
-// Member returns what is known about a node, this node included.
+// Member returns the table's member with this id, or this node itself.
 func (r *Registrar) Member(id cassiatally.NodeID) (cassiatally.Member, bool) {
 	if id == r.cfg.Self.Node {
 		return r.self, true
@@ -130,8 +132,9 @@
 	return e.member, true
 }
 
-// suspected applies to the own data centre. Beats of other data centres come
-// more seldom than SuspectAfter; their members are suspected at RemoveAfter.
+// suspected reports whether a member's heartbeat stopped for too long. Heartbeats of
+// other data centres arrive less often than SuspectAfter, so their members are
+// suspected only after RemoveAfter.
 func (r *Registrar) suspected(now cassiatally.Instant, e *entry) bool {
 	if e.member.DataCentre == r.cfg.DataCentre {
 		return now.Sub(e.grewAt) >= r.suspectAfter()
@@ -139,15 +142,15 @@
 	return now.Sub(e.grewAt) >= r.cfg.RemoveAfter
 }
 
-// suspectAfter grows with the number of members, since the beats of more members
-// share the same messages. With 3 s for 132 members, 1 to 2% of them were
-// suspected at any time without a cause.
+// suspectAfter grows with the number of members, since the heartbeats of more members
+// share the same messages. With 3 s for 132 members, 1 to 2% of the live ones were
+// suspected at any time.
 func (r *Registrar) suspectAfter() time.Duration {
 	return r.cfg.SuspectAfter + time.Duration(len(r.table))*suspectPerMember
 }
 
-// logReadersOf returns the two members with the lowest rendezvous hash, which are
-// the same on all nodes that know the same members.
+// logReadersOf returns the two members with the lowest rendezvous hash. They are the
+// same on all nodes whose tables have the same members.
 func logReadersOf(local []*entry) []cassiatally.NodeRef {
 	slices.SortFunc(local, func(a, b *entry) int {
 		return cmp.Or(cmp.Compare(a.logScore, b.logScore), cmp.Compare(a.member.Ref.Node, b.member.Ref.Node))
@@ -159,24 +162,25 @@
 	return readers
 }
 
-// logScoreOf orders the members of a data centre as log readers.
+// logScoreOf returns the rendezvous hash by which the log readers of a data centre are
+// chosen.
 func logScoreOf(dc cassiatally.DataCentre, id cassiatally.NodeID) uint64 {
 	return xxhash.Sum64String("log\x00" + string(dc) + "\x00" + string(id))
 }
 
-func (v *View) addEndpoints(all []shown) {
-	trusted := map[cassiatally.Service]bool{}
+func (v *View) addEndpoints(all []viewEntry) {
+	hasLive := map[cassiatally.Service]bool{}
 	for _, s := range all {
 		m := &s.entry.member
 		if m.Endpoint.State == cassiatally.EndpointReady && !m.Leaving && !s.suspect {
-			trusted[m.Endpoint.Service] = true
+			hasLive[m.Endpoint.Service] = true
 		}
 	}
 	summaries := map[summaryKey]int{}
 	for _, s := range all {
 		m := &s.entry.member
 		e := &m.Endpoint
-		if e.State == cassiatally.EndpointNone || (s.suspect && trusted[e.Service]) {
+		if e.State == cassiatally.EndpointNone || (s.suspect && hasLive[e.Service]) {
 			continue
 		}
 		state := e.State
@@ -198,18 +202,19 @@
 	dataCentre cassiatally.DataCentre
 }
 
-// summarise adds a member to its summary; at has the places of the summaries.
-func (v *View) summarise(m *cassiatally.Member, at map[summaryKey]int) {
+// summarise adds a member to its summary; indexes has the summaries' positions in
+// v.Summaries.
+func (v *View) summarise(m *cassiatally.Member, indexes map[summaryKey]int) {
 	level := cassiatally.Level(1)
 	if len(m.Endpoint.Levels) > 0 {
 		level = slices.Min(m.Endpoint.Levels)
 	}
 	key := summaryKey{m.Endpoint.Service, m.DataCentre}
-	i, found := at[key]
+	i, found := indexes[key]
 	if !found {
 		v.Summaries = append(v.Summaries, Summary{Service: m.Endpoint.Service, DataCentre: m.DataCentre, Level: 1})
 		i = len(v.Summaries) - 1
-		at[key] = i
+		indexes[key] = i
 	}
 	s := &v.Summaries[i]
 	limit := m.Endpoint.Load.Limit
