--- a/cassiatally/ranker/ranker.go
+++ b/cassiatally/ranker/ranker.go
@@ -6,11 +6,11 @@
 //	r, err := ranker.New(s, version)
 //	policy, err := r.Lookup("booking-svc", "confirm", "dc1", clock.Wall())
 //
-// A row for the data centre wins over a row for all, and then the earlier row of
-// the sheet wins. A kind that has rows, but none for the place and time, gets the
-// least urgent rank of the sheet with share 0 and the target of the kind's first
-// row: it is served when capacity is left and shed first. A Ranker never changes
-// after New, so any number of goroutines may read it.
+// A row for the data centre takes precedence over a row for all, and then the earlier
+// row of the sheet. A kind that has rows, but none for the data centre and time, gets
+// the least urgent rank of the sheet with share 0 and the target of the kind's first
+// row: it is served with spare capacity only and shed first. A Ranker is immutable, so
+// any number of goroutines may use it.
 package ranker
 
 import (
@@ -21,18 +21,19 @@
 	"github.com/cassiatally/cassiatally/cassiatally/sheet"
 )
 
-// Ranker gives the policies of one version of a sheet.
+// Ranker looks up policies in one version of a sheet.
 type Ranker struct {
-	version  cassiatally.Version
-	services map[cassiatally.Service]struct{}
-	kinds    map[sheet.KindRef]*rules
-	shares   [cassiatally.MaxRanks]cassiatally.Share
-	lowest   cassiatally.Rank
+	version     cassiatally.Version
+	services    map[cassiatally.Service]struct{}
+	kinds       map[sheet.KindRef]*rules
+	shares      [cassiatally.MaxRanks]cassiatally.Share
+	leastUrgent cassiatally.Rank
 }
 
 var _ cassiatally.Policies = (*Ranker)(nil)
 
-// rules has the rows of one kind in the order in which they are tried.
+// rules has the rows of one kind in order of precedence, and the policy where none
+// applies.
 type rules struct {
 	rows     []rule
 	fallback cassiatally.Policy
@@ -54,22 +55,22 @@
 	}
 	locations := map[sheet.Zone]*time.Location{}
 	for _, row := range s.Rows {
-		if err := r.add(row, locations); err != nil {
+		if err := r.addRow(row, locations); err != nil {
 			return nil, err
 		}
 	}
 	for _, k := range r.kinds {
-		k.fallback.Rank = r.lowest
-		slices.SortStableFunc(k.rows, specificFirst)
+		k.fallback.Rank = r.leastUrgent
+		slices.SortStableFunc(k.rows, compareSpecificity)
 	}
 	return r, nil
 }
 
-func (r *Ranker) add(row sheet.Row, locations map[sheet.Zone]*time.Location) error {
+func (r *Ranker) addRow(row sheet.Row, locations map[sheet.Zone]*time.Location) error {
 	if row.Rank >= cassiatally.MaxRanks {
 		return cassiatally.NewError(cassiatally.KindInvalidSheet, "rank %d of %s is not below %d", row.Rank, row.Kind, cassiatally.MaxRanks)
 	}
-	loc, err := locate(row.Window.Zone, locations)
+	loc, err := loadLocation(row.Window.Zone, locations)
 	if err != nil {
 		return cassiatally.NewError(cassiatally.KindInvalidSheet, "%s: %v", row.Kind, err)
 	}
@@ -89,11 +90,11 @@
 	k.rows = append(k.rows, rule{row.DataCentre, row.Window, loc, policy})
 	r.services[row.Kind.Service] = struct{}{}
 	r.shares[row.Rank] = row.Share
-	r.lowest = max(r.lowest, row.Rank)
+	r.leastUrgent = max(r.leastUrgent, row.Rank)
 	return nil
 }
 
-func locate(z sheet.Zone, locations map[sheet.Zone]*time.Location) (*time.Location, error) {
+func loadLocation(z sheet.Zone, locations map[sheet.Zone]*time.Location) (*time.Location, error) {
 	if loc, ok := locations[z]; ok {
 		return loc, nil
 	}
@@ -105,7 +106,7 @@
 	return loc, nil
 }
 
-func specificFirst(a, b rule) int {
+func compareSpecificity(a, b rule) int {
 	anyA, anyB := a.dataCentre == sheet.AnyDataCentre, b.dataCentre == sheet.AnyDataCentre
 	switch {
 	case anyA == anyB:
@@ -123,7 +124,7 @@
 func (r *Ranker) Lookup(s cassiatally.Service, w cassiatally.WorkKind, dc cassiatally.DataCentre, at time.Time) (cassiatally.Policy, error) {
 	k, ok := r.kinds[sheet.KindRef{Service: s, Work: w}]
 	if !ok {
-		return cassiatally.Policy{}, r.unknown(s, w)
+		return cassiatally.Policy{}, r.unknownWork(s, w)
 	}
 	for i := range k.rows {
 		row := &k.rows[i]
@@ -137,15 +138,15 @@
 	return k.fallback, nil
 }
 
-func (r *Ranker) unknown(s cassiatally.Service, w cassiatally.WorkKind) error {
+func (r *Ranker) unknownWork(s cassiatally.Service, w cassiatally.WorkKind) error {
 	if _, ok := r.services[s]; !ok {
 		return cassiatally.NewError(cassiatally.KindUnknownService, "version %d of the sheet has no service %q; check the name", r.version, s)
 	}
 	return cassiatally.NewError(cassiatally.KindUnknownKind, "version %d of the sheet has no kind %q of service %q; check the name", r.version, w, s)
 }
 
-// Shares returns the share that each rank keeps in a flood. A rank that the
-// sheet does not use has share 0.
+// Shares returns the share of capacity that each rank keeps under overload by other
+// ranks. A rank that the sheet does not use has share 0.
 func (r *Ranker) Shares() [cassiatally.MaxRanks]cassiatally.Share { return r.shares }
 
 // Version returns the version of the sheet.
