--- a/cassiatally/action.go
+++ b/cassiatally/action.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Action is what a decision asks its owner to do.
+// Action is a side effect that a decision package returns for its owner to carry out.
 type Action interface{ action() }
 
-// Send passes a message to a node. The node may be the sender itself.
+// Send sends a message to a node, which may be the sender itself.
 type Send struct {
 	To      NodeID
 	Message Message
 }
 
-// Deliver hands an answer to whoever submitted the request on this node.
+// Deliver passes the final answer of a request to its submitter on this node.
 type Deliver struct {
 	Call   CallID
 	Answer Answer
@@ -30,7 +30,8 @@
 // Submit has the router of this node route a request.
 type Submit struct{ Request Request }
 
-// Withdraw tells the router that nobody waits for a submitted request any more.
+// Withdraw cancels a submitted request at the router, since nothing waits for its
+// answer any more.
 type Withdraw struct{ Call CallID }
 
 func (Send) action()     {}
@@ -41,13 +42,13 @@
 func (Withdraw) action() {}
 
 // AppendAssignment has the log appender of this node append an assignment to
-// the stream of the shard's data centre. Decisions do not encode, so the record
-// is typed.
+// the stream of the shard's data centre. Decision packages do not encode records, so
+// the assignment is passed as a value.
 type AppendAssignment struct{ Assignment Assignment }
 
 func (AppendAssignment) action() {}
 
-// SendAddress passes a message to the node that accepts links at an address.
+// SendAddress sends a message to the node that accepts links at an address.
 type SendAddress struct {
 	To      Address
 	Message Message
--- a/cassiatally/backend.go
+++ b/cassiatally/backend.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// InstanceID names one start of a backend server.
+// InstanceID identifies one run of a backend server process.
 type InstanceID string
 
-// BackendTarget tells where the backend server of this host listens and which
-// instance of it is meant.
+// BackendTarget is the address of the backend server of this host and the instance
+// that calls are for.
 type BackendTarget struct {
 	Address     Address
 	Instance    InstanceID
 	Connections Concurrency
 }
 
-// RunResultKind tells how a run at the backend server ended.
+// RunResultKind classifies how a run at the backend server ended.
 type RunResultKind uint8
 
 const (
@@ -27,14 +27,14 @@
 	ResultRefused
 	// ResultUnreached means that no connection could be opened.
 	ResultUnreached
-	// ResultBroken means that the connection ended before the whole answer and that
+	// ResultBroken means that the connection was lost before the whole answer and that
 	// the backend server seems to have crashed.
 	ResultBroken
 	// ResultTimedOut means that the deadline passed before the answer.
 	ResultTimedOut
 	// ResultAborted means that the run was cancelled.
 	ResultAborted
-	// ResultLost means that no whole answer came although the backend server still
+	// ResultLost means that no whole answer arrived although the backend server still
 	// accepts connections.
 	ResultLost
 	// ResultReplaced means that another instance has the address; it did not run
@@ -63,7 +63,7 @@
 
 // BackendClient sends calls to the backend server of this host.
 type BackendClient interface {
-	// Do runs a call and returns how it ended. It breaks the run off when ctx ends.
+	// Do runs a call and returns how it ended. It aborts the run when ctx ends.
 	Do(ctx context.Context, t BackendTarget, c Call) RunResult
 }
 
@@ -79,10 +79,10 @@
 	Probe(ctx context.Context, a Address, path string) (BackendHealth, error)
 }
 
-// InstanceReport is what an instance of a backend server says about itself.
+// InstanceReport is the state that an instance of a backend server reports.
 type InstanceReport struct {
 	Instance InstanceID
-	// Born is when the instance started, in milliseconds of the Unix epoch; 0 when
+	// StartedMs is when the instance started, in milliseconds of the Unix epoch; 0 when
 	// that is unknown.
 	Born int64
 	// Sequence grows with each report of an instance.
@@ -91,6 +91,6 @@
 	Address  Address
 	Slots    Concurrency
 	State    EndpointState
-	// Cold is how much longer the instance stays slow after its start.
+	// ColdRemaining is how much longer the instance expects to be slow after its start.
 	Cold time.Duration
 }
--- a/cassiatally/doc.go
+++ b/cassiatally/doc.go
@@ -1,7 +1,7 @@
-// Package cassiatally defines the vocabulary shared by every part of the
-// overload control layer: named types for ids and units, the closed list of
-// error kinds, the messages that nodes exchange, and the interfaces of all
-// behaviour that varies. Implementations live in the packages below it.
+// Package cassiatally defines the types shared by every part of the overload
+// control layer: named types for ids and units, the closed list of error kinds,
+// the messages that nodes exchange, and the interfaces of all behaviour that
+// varies. Implementations are in the packages below it.
 //
 // # Usage
 //
@@ -18,6 +18,6 @@
 //		}
 //	}
 //
-// The types hold no locks. A value belongs to one duty at a time and passes to
+// The types hold no locks. A value belongs to one duty at a time and is handed to
 // the next duty through a ring.
 package cassiatally
--- a/cassiatally/errorkind.go
+++ b/cassiatally/errorkind.go
@@ -7,8 +7,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrorKind is one of a closed list of ways in which a request or a command
-// can fail. ErrorKind.Spec gives what each kind means to callers.
+// ErrorKind is one of a closed list of ways in which a request or a command can
+// fail. Spec returns its status, exit code and default outcome.
 type ErrorKind uint8
 
 // The kinds of error. Their numbers are part of the protocol between nodes.
@@ -59,13 +59,13 @@
 	ExitUsage   ExitCode = 2
 )
 
-// ErrorSpec tells what an error kind means to callers.
+// ErrorSpec is what callers get for an error kind.
 type ErrorSpec struct {
 	Name   string
 	Title  string
 	Status int
 	Exit   ExitCode
-	// Outcome is what holds unless the place that raises the error knows better.
+	// Outcome is the default for errors that are raised without an outcome of their own.
 	Outcome Outcome
 	// Retryable allows the layer directly above to try another endpoint.
 	Retryable bool
@@ -107,11 +107,11 @@
 	KindInternal:           {"internal", "Internal error", http.StatusInternalServerError, ExitFailure, OutcomeUnknown, false},
 }
 
-// statusClientClosedRequest is in common use for a client that closed its
-// connection before the answer; net/http has no name for it.
+// statusClientClosedRequest is commonly used for a client that closed its connection
+// before the answer; net/http has no name for it.
 const statusClientClosedRequest = 499
 
-// Spec returns what the kind means to callers.
+// Spec returns what callers get for the kind. Unknown kinds count as KindInternal.
 func (k ErrorKind) Spec() ErrorSpec {
 	if k >= errorKindCount {
 		return errorSpecs[KindInternal]
@@ -125,7 +125,7 @@
 // String returns the name of the kind as callers see it.
 func (k ErrorKind) String() string { return k.Spec().Name }
 
-// ErrorKinds returns all kinds of failure in their order.
+// ErrorKinds returns all kinds but KindNone, in the order of their numbers.
 func ErrorKinds() []ErrorKind {
 	kinds := make([]ErrorKind, 0, errorKindCount-1)
 	for k := KindNone + 1; k < errorKindCount; k++ {
@@ -134,7 +134,8 @@
 	return kinds
 }
 
-// Error is a failure of a known kind. Detail says what to do next.
+// Error is an error with one of the kinds. Detail describes the failure and, where
+// there is something to do about it, the next step.
 type Error struct {
 	Kind    ErrorKind
 	Outcome Outcome
@@ -149,8 +150,8 @@
 // Error returns the name of the kind and the detail.
 func (e *Error) Error() string { return e.Kind.String() + ": " + e.Detail }
 
-// KindOf returns the kind of the first Error in the chain of err, or
-// KindInternal when there is none.
+// KindOf returns the kind of the first Error in the chain of err, KindInternal when
+// there is none, and KindNone when err is nil.
 func KindOf(err error) ErrorKind {
 	if err == nil {
 		return KindNone
--- a/cassiatally/head.go
+++ b/cassiatally/head.go
@@ -3,8 +3,8 @@
 // Field is one header field of a request or an answer.
 type Field struct{ Name, Value string }
 
-// Head is what a front end received of a request before its body. Decisions pass
-// it on without reading it.
+// Head has the request line and the header fields of a request that a front end
+// received. Decision packages copy it without reading it.
 type Head struct {
 	Method string
 	// Target is the path with the query.
--- a/cassiatally/ids.go
+++ b/cassiatally/ids.go
@@ -14,7 +14,7 @@
 type (
 	// NodeID names a node; it is unique among live nodes and survives restarts.
 	NodeID string
-	// Incarnation tells the runs of one node apart. A restart draws a new one.
+	// Incarnation identifies one run of a node. Each restart has a new, greater one.
 	Incarnation uint64
 	// DataCentre names a data centre.
 	DataCentre string
@@ -28,11 +28,11 @@
 	Address string
 	// ShardID numbers a shard of idempotency keys within its data centre.
 	ShardID uint16
-	// Epoch counts the assignments of a shard. It only grows.
+	// Epoch numbers the assignments of a shard. It only grows.
 	Epoch uint64
-	// Version counts the accepted sheets. It only grows.
+	// Version numbers the accepted sheets. It only grows.
 	Version uint64
-	// Offset is the place of a record in a stream of the log service.
+	// Offset is the position of a record in a stream of the log service.
 	Offset uint64
 	// Stream names a stream of the log service.
 	Stream string
@@ -40,10 +40,10 @@
 	Key string
 	// RequestName is a caller's own id of a request.
 	RequestName string
-	// Fingerprint identifies equal requests: service, kind of work and body.
+	// Fingerprint is a hash of service, kind of work and body, equal for equal requests.
 	Fingerprint uint64
-	// RequestTag ties an answer to the request that it is for: a digest of the call
-	// id and of what was asked.
+	// RequestTag is a hash of the call id and the content of a request. An answer
+	// repeats it, so that the receiver can check which request the answer is for.
 	RequestTag uint64
 )
 
@@ -61,15 +61,15 @@
 	return fmt.Sprintf("%s/%x", r.Node, uint64(r.Incarnation))
 }
 
-// CrashNumber is the place of a crash among those of one incarnation of a node,
-// from 1.
+// CrashNumber numbers the crashes of one incarnation of a node, from 1.
 type CrashNumber uint64
 
-// CallOrigin identifies the incarnation of a node that draws the ids of calls.
+// CallOrigin identifies the incarnation of a node that assigned the id of a call.
 type CallOrigin uint64
 
-// CallOriginOf returns the origin of a node. Its name counts besides its incarnation,
-// since nodes that start in the same microsecond have equal incarnations.
+// CallOriginOf returns the origin of a node. The hash includes the node's name besides
+// its incarnation, since nodes that start in the same microsecond have equal
+// incarnations.
 func CallOriginOf(r NodeRef) CallOrigin {
 	h := xxhash.New()
 	_, _ = h.WriteString(string(r.Node) + "\x00")
@@ -89,7 +89,7 @@
 	return fmt.Sprintf("%x-%x", uint64(id.Origin), id.Seq)
 }
 
-// ParseCallID reads the form that String returns.
+// ParseCallID parses the form that CallID.String returns.
 func ParseCallID(s string) (CallID, error) {
 	origin, seq, ok := strings.Cut(s, "-")
 	o, errOrigin := strconv.ParseUint(origin, 16, 64)
@@ -134,7 +134,7 @@
 	return Fingerprint(h.Sum64())
 }
 
-// tagOf returns the tag of a request with these parts.
+// tagOf returns the tag of a request with this id and these parts of its content.
 func tagOf(id CallID, parts ...[]byte) RequestTag {
 	var b [16]byte
 	binary.BigEndian.PutUint64(b[:8], uint64(id.Origin))
@@ -169,8 +169,8 @@
 	return Key(fmt.Sprintf("%s.%d.%d.%016x", p.Shard.DataCentre, p.Shard.Shard, p.Epoch, p.Random))
 }
 
-// ParseKey reads a minted key. Only the exact form that KeyParts.Key returns is
-// accepted, so that two spellings of one key cannot be claimed apart.
+// ParseKey parses a minted key. Only the exact form that KeyParts.Key returns is
+// accepted, so that two spellings of one key cannot be claimed separately.
 func ParseKey(k Key) (KeyParts, error) {
 	fields := strings.Split(string(k), ".")
 	malformed := errors.Newf("key %q is not of the form data-centre.shard.epoch.random", k)
--- a/cassiatally/interfaces.go
+++ b/cassiatally/interfaces.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Clock gives the time to duties. Tests inject their own.
+// Clock is the source of time for duties. Tests inject their own.
 type Clock interface {
 	// Now returns a monotonic reading.
 	Now() Instant
-	// Wall returns the time of day, which the sheet's time windows need.
+	// Wall returns the wall-clock time, which the sheet's time windows need.
 	Wall() time.Time
 }
 
@@ -26,9 +26,9 @@
 	Send(to NodeID, m Message) error
 }
 
-// Batch is a run of records of a stream.
+// Batch has consecutive records of a stream.
 type Batch struct {
-	// First is the oldest offset that the log still has.
+	// Oldest is the oldest offset that the log still has.
 	First Offset
 	// Next is the offset to read from next.
 	Next    Offset
@@ -38,7 +38,7 @@
 // LogRecord is one record of a stream.
 type LogRecord struct {
 	Offset Offset
-	// Expires is the time left until the log drops the record.
+	// Expires is the time left until the log deletes the record.
 	Expires time.Duration
 	Data    []byte
 }
@@ -48,7 +48,7 @@
 	// Append returns the offset of the record. After an error the record may or
 	// may not have been written; the caller reads back before it appends again.
 	Append(ctx context.Context, s Stream, data []byte) (Offset, error)
-	// Read returns records from the offset on and waits up to wait for the first.
+	// Read returns records from the offset on. It blocks up to wait until there is one.
 	Read(ctx context.Context, s Stream, from Offset, wait time.Duration) (Batch, error)
 }
 
@@ -60,7 +60,8 @@
 	Tenant   Tenant
 	Order    Order
 	Deadline Instant
-	// Onward marks a call for which services further up have done work already.
+	// Onward marks an onward call: services further up the chain have already done work
+	// for its root request.
 	Onward bool
 }
 
@@ -83,9 +84,10 @@
 	Remove(id CallID) bool
 	// Done records the end of a run that occupied the backend server for busy.
 	Done(now Instant, r Rank, busy time.Duration)
-	// Cut records the end of a run that was broken off after busy.
+	// CutOff records the end of a run that was cut off after busy and would have taken
+	// longer.
 	Cut(now Instant, r Rank, busy time.Duration)
-	// Tick updates the levels. It is called at least every 100 ms.
+	// Tick updates the levels. It must be called at least every 100 ms.
 	Tick(now Instant, limit Concurrency)
 	// Levels returns the level of each rank.
 	Levels() []Level
@@ -93,24 +95,24 @@
 	Len() int
 }
 
-// RunSample is the end of a run as the limiter sees it.
+// RunSample is the measurement of a finished run for the limiter.
 type RunSample struct {
-	// Self is the run time less the time in which an onward call was outstanding.
+	// SelfTime is the run time less the time in which an onward call was outstanding.
 	Self time.Duration
 	// InFlight is the concurrency at the start of the run.
 	InFlight Concurrency
 	// Failed is set for crashes and refusals by the backend server. A run that was
-	// cut off at its deadline has not failed; it took at least Self.
+	// cut off at its deadline has not failed; it took at least SelfTime.
 	Failed bool
 }
 
 // Limiter bounds the runs in flight at one backend server.
 type Limiter interface {
 	Limit() Concurrency
-	// Resize sets the slots that the backend server announces.
+	// Resize sets the number of slots, the upper bound that the backend server announces.
 	Resize(now Instant, slots Concurrency)
 	Observe(now Instant, s RunSample)
-	// Typical returns the typical self time of a run.
+	// TypicalSelfTime returns the smoothed self time of a run.
 	Typical() time.Duration
 }
 
@@ -134,19 +136,19 @@
 	Started(now Instant, n NodeID)
 	// Finished records the end of that call.
 	Finished(now Instant, n NodeID, r CallResult)
-	// Silent records that nothing is heard of the node of the endpoint.
+	// Silent records that the node of the endpoint has sent nothing for some time.
 	Silent(now Instant, n NodeID)
-	// Heard records that the node of the endpoint is in reach.
+	// Responding records that the node of the endpoint sends again.
 	Heard(n NodeID)
-	// Known reports whether any endpoint of the service is known, in any state.
+	// HasEndpoint reports whether the service has an endpoint, in any state.
 	Known(s Service) bool
 }
 
-// CallResult is the end of a call as the balancer sees it.
+// CallResult is the measurement of a finished call for the balancer.
 type CallResult struct {
 	Took   time.Duration
 	Failed bool
-	// Unreached tells that the node of the endpoint is out of reach.
+	// Unreachable is set when the node of the endpoint could not be reached.
 	Unreached bool
 	// Load is the endpoint's own report; its Node is empty when there is none.
 	Load EndpointLoad
@@ -158,34 +160,36 @@
 
 // RetryBudget bounds retries per pair of services.
 type RetryBudget interface {
-	// Take reports whether a retry of a request of the rank may be sent now and spends
-	// it if so. The level of the target service shrinks the budget.
+	// TakeRetry reports whether a retry of a request of the rank may be sent now, and
+	// spends a token if so. A lower level of the target service shrinks the budget.
 	Take(now Instant, p ServicePair, r Rank, level Level) bool
-	// TakeLost does the same for a run that was cut off by the loss of an endpoint,
-	// whatever the level.
+	// TakeLostRetry does the same for a run that was cut off by the loss of an endpoint,
+	// at any level.
 	TakeLost(now Instant, p ServicePair) bool
 	// Requested records the first send of a request. A repeated one belongs to a run
-	// that was repeated further up the chain.
+	// that was retried further up the chain.
 	Requested(now Instant, p ServicePair, repeated bool)
-	// Succeeded feeds the budget of the pair.
+	// Succeeded records a successful answer, which refills the budget of the pair.
 	Succeeded(now Instant, p ServicePair)
 }
 
-// LoadTracker decides at the entry whether a call chain can finish.
+// LoadTracker decides at the entry whether the call chain of a request has the
+// capacity to finish it.
 type LoadTracker interface {
-	// Learn records the levels of the services that a (service, kind) touched.
+	// RecordChain records the levels of the services in the call chain of a kind of
+	// work, as an answer reports them.
 	Learn(now Instant, s Service, w WorkKind, loads []ServiceLoad)
-	// Observe records the level that one endpoint had at an instant, as gossip
-	// reports it. A report that is not newer than the last one changes nothing.
+	// RecordEndpoint records the levels that one endpoint had at an instant, as gossip
+	// reports them. A report that is not newer than the last one is ignored.
 	Observe(at Instant, n NodeID, load ServiceLoad)
-	// Admit reports whether the chain can serve the order value, and if not, the
-	// service that cannot.
+	// Admit reports whether the whole chain serves the order value, and if not, the
+	// service that lacks the capacity.
 	Admit(now Instant, s Service, w WorkKind, r Rank, o Order) (bool, Service)
 	// Level returns the level of a service for a rank.
 	Level(now Instant, s Service, r Rank) Level
 }
 
-// Quarantine stops requests that crash backend servers.
+// Quarantine blocks requests that crash backend servers.
 type Quarantine interface {
 	// Blocked reports whether the request must not be run.
 	Blocked(now Instant, f Fingerprint) bool
@@ -194,38 +198,39 @@
 	Suspect(now Instant, f Fingerprint) bool
 	// Crashed records a crash with these requests in flight.
 	Crashed(now Instant, inFlight []Fingerprint)
-	// Completed clears a request.
+	// Completed records a completed run, which clears the request of suspicion.
 	Completed(now Instant, f Fingerprint)
 	// Count returns how many requests are suspects and how many are quarantined.
 	Count(now Instant) (suspects, quarantined int)
-	// Reports returns what to tell other nodes.
+	// Reports returns the crash reports to send to other nodes.
 	Reports(now Instant) []CrashReport
-	// News returns all that is known of the crashes of some requests.
+	// ReportsOf returns all crash reports of some requests.
 	News(now Instant, of []Fingerprint) []CrashReport
-	// Merge records what another node told.
+	// Merge records the crash reports of another node.
 	Merge(now Instant, reports []CrashReport)
 }
 
-// Policies gives the policy of a request from the sheet in force.
+// Policies looks up the policies of requests in the sheet in force.
 type Policies interface {
 	// Lookup returns the policy of a kind of work at a data centre and time.
 	Lookup(s Service, w WorkKind, dc DataCentre, at time.Time) (Policy, error)
 }
 
-// ShardView tells which node holds a shard.
+// ShardView is the shard table in force.
 type ShardView interface {
+	// HolderOf returns the holder of a shard and its epoch, or false when there is none.
 	HolderOf(s ShardRef) (NodeRef, Epoch, bool)
 }
 
-// RouteSource is where operators publish route tables.
+// RouteSource provides the route tables that operators publish.
 type RouteSource interface {
-	// Next waits for a table that was published after the one that it returned last,
-	// and returns the newest.
+	// Next waits until a table newer than the last returned one is published, and
+	// returns the newest.
 	Next(ctx context.Context) (RouteTable, error)
 }
 
-// MemberStore keeps where nodes can be found, so that a node that starts finds
-// the others.
+// MemberStore stores members outside the nodes, so that a node that starts can connect
+// to the others.
 type MemberStore interface {
 	Load(ctx context.Context) ([]Member, error)
 	Save(ctx context.Context, m Member) error
--- a/cassiatally/message.go
+++ b/cassiatally/message.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Message is what one node sends to another.
+// Message is a message from one node to another.
 type Message interface{ message() }
 
-// Hello opens a link and tells who is at the other end.
+// Hello is the first message on a link; it identifies the sender.
 type Hello struct {
 	From       NodeRef
 	DataCentre DataCentre
 	Address    Address
 }
 
-// Ping is the heartbeat that an end of a link sends when it has sent nothing else.
+// Ping is the heartbeat of an idle link.
 type Ping struct{ Seq uint64 }
 
-// Stage tells what a Call asks of the node that receives it.
+// Stage selects whether the receiver of a Call runs the request or claims its key.
 type Stage uint8
 
 const (
@@ -38,17 +38,17 @@
 	Order      Order
 	Idempotent bool
 	Key        Key
-	// Remaining is the time left until the caller's deadline. A duration is sent
-	// because the clocks of two hosts differ.
+	// Remaining is the time left until the caller's deadline. It is a duration because
+	// the clocks of two hosts differ.
 	Remaining time.Duration
 	Retries   RetryCount
 	Depth     Depth
 	Attempt   uint16
 	// Head and Caller are empty for requests of the product's own front end. Caller
-	// is the service on the host where the request began.
+	// is the service on the host where the request originated.
 	Head   Head
 	Caller Service
-	// Repeated tells that the request, or one further up its chain, was sent before
+	// Repeated is set when the request, or one further up its chain, was sent before
 	// and may have run.
 	Repeated bool
 	Name     RequestName
@@ -56,7 +56,8 @@
 	Digest   Digest
 }
 
-// Fingerprint identifies equal requests.
+// Fingerprint returns the fingerprint of the request. The kind of work includes the
+// target of Head.
 func (c Call) Fingerprint() Fingerprint {
 	return FingerprintOf(c.Service, c.Work+WorkKind(c.Head.Target), c.Body)
 }
@@ -69,9 +70,9 @@
 // Answer is the result of a Call.
 type Answer struct {
 	ID CallID
-	// Request is the tag of the request that the answer is for. An id alone does not
-	// show that an answer got the id of another call on its way. It is zero in
-	// stored answers and in those of nodes that do not know the field.
+	// Request is the tag of the request that the answer is for. By the id alone, an
+	// answer whose id changed in transit to that of another call would not be detected.
+	// It is zero in stored answers and in those of nodes without the field.
 	Request     RequestTag
 	Outcome     Outcome
 	Kind        ErrorKind
@@ -82,23 +83,23 @@
 	Body        []byte
 	Digest      Digest
 	RetryAfter  time.Duration
-	// OwnFailure tells that the backend server failed although all its onward calls
-	// succeeded, so that another one may do better.
+	// OwnFailure is set when the backend server failed although all its onward calls
+	// succeeded, so that another one may succeed.
 	OwnFailure bool
 	// RetriesSpent counts retries of the call and of all calls below it.
 	RetriesSpent RetryCount
 	// Endpoint is the load of the endpoint that answered.
 	Endpoint EndpointLoad
-	// Loads has the levels of every service that the call touched.
+	// Loads has the levels of every service in the call chain below.
 	Loads []ServiceLoad
 }
 
-// Cancel tells that nobody waits for a Call any more.
+// Cancel cancels a Call, since its sender no longer waits for the answer.
 type Cancel struct{ ID CallID }
 
-// RunQuery asks for the outcome of a Call whose link was lost. A node that has
-// not seen the call voids its id, so that a delayed copy is never run. Target is
-// the incarnation that the call was sent to; another one cannot tell.
+// RunQuery asks for the outcome of a Call whose link was lost. A node that has not
+// received the call voids its id, so that a delayed copy is never run. Target is the
+// incarnation that the call was sent to; another one has no record of it.
 type RunQuery struct {
 	ID     CallID
 	Target Incarnation
@@ -115,33 +116,33 @@
 // Tag returns the tag that the answer to the query repeats.
 func (q KeyQuery) Tag() RequestTag { return tagOf(q.ID, []byte(q.Key)) }
 
-// EndpointLoad is what an endpoint's node reports about it.
+// EndpointLoad is the load of an endpoint as its node reports it.
 type EndpointLoad struct {
 	Node     NodeID
 	Limit    Concurrency
 	InFlight Concurrency
 	Queued   int
-	// Typical is the typical self time of a run.
+	// TypicalSelfTime is the smoothed self time of a run.
 	Typical time.Duration
 }
 
-// ServiceLoad is the level of each rank at an endpoint of a service, or over
-// several of them. Weight is the concurrency that the levels stand for.
+// ServiceLoad has the level of each rank at an endpoint of a service, or the mean over
+// several endpoints. Weight is the concurrency that the levels apply to.
 type ServiceLoad struct {
 	Service Service
 	Weight  float64
 	Levels  []Level
 }
 
-// EndpointState tells whether an endpoint takes new work.
+// EndpointState is whether an endpoint accepts new work.
 type EndpointState uint8
 
 const (
 	// EndpointNone means that the node has no backend server.
 	EndpointNone EndpointState = iota
-	// EndpointReady means that the backend server takes work.
+	// EndpointReady means that the backend server accepts work.
 	EndpointReady
-	// EndpointDraining means that the backend server takes no new work.
+	// EndpointDraining means that the backend server accepts no new work.
 	EndpointDraining
 )
 
@@ -167,14 +168,14 @@
 	Levels      []Level
 }
 
-// Member is what a node tells about itself and passes on about others.
+// Member is a node's entry in the member table, which nodes exchange by gossip.
 type Member struct {
 	Ref        NodeRef
 	DataCentre DataCentre
 	Address    Address
 	// Heartbeat grows with every gossip round of the member.
 	Heartbeat uint64
-	// Revision grows when anything but the heartbeat and the load changes.
+	// Revision grows when anything but heartbeat, load, levels and sheet version changes.
 	Revision uint64
 	Leaving  bool
 	Sheet    Version
@@ -188,45 +189,45 @@
 	Members []Member
 	Sheet   Version
 	Crashes []CrashReport
-	// ShardEpochs is the sum of the epochs of the sender's own data centre. A
-	// receiver of the same data centre whose sum is lower asks for the table.
+	// ShardEpochs is the sum of the shard epochs of the sender's data centre. A receiver
+	// in the same data centre whose sum is lower pulls the shard table.
 	ShardEpochs Epoch
-	// CrashNews is the number of a crash at the sender, which the receiver
-	// acknowledges with CrashAck once it knows the crash reports. Such a message
-	// carries nothing else.
+	// CrashNumber is the number of the sender's crash that Crashes reports. The receiver
+	// acknowledges it in CrashAck once it has merged the reports. Such a message carries
+	// nothing else.
 	CrashNews CrashNumber
 	CrashAck  CrashNumber
 }
 
-// CrashReport counts the backend server crashes that one node saw while a
-// request with the fingerprint was in flight there.
+// CrashReport counts the backend server crashes at one node while a request with the
+// fingerprint was in flight there.
 type CrashReport struct {
 	Fingerprint Fingerprint
 	Reporter    NodeRef
 	Crashes     uint16
 	Completed   bool
-	// Clears counts the completed runs at the reporter that cleared a suspect.
-	// Crashes counts those since the last of them. A report with more clears, or
-	// with as many and more crashes, replaces the one before.
+	// Clears counts the completed runs at the reporter that cleared the request of
+	// suspicion. Crashes counts the crashes since the last of them. A report with more
+	// clears, or with as many clears and more crashes, replaces an earlier one.
 	Clears uint16
 }
 
 // SheetPull asks for the sheet in force when it is newer than Have.
 type SheetPull struct{ Have Version }
 
-// SheetRecord is an accepted sheet, as the log holds it and as nodes pass it on.
+// SheetRecord is an accepted sheet, as it is stored in the log and sent between nodes.
 type SheetRecord struct {
 	Version   Version
 	BasedOn   Version
 	Publisher string
-	// Reappend marks a copy of an accepted record that was appended again before
-	// the log dropped the first one.
+	// Reappend marks a copy of an accepted record that was appended again before the
+	// log deleted the first one.
 	Reappend bool
 	Sheet    []byte
 	Digest   Digest
 }
 
-// Assignment says which node incarnations hold a shard and stand by for it.
+// Assignment is the holder and the standby of a shard in an epoch.
 type Assignment struct {
 	Shard   ShardRef
 	Epoch   Epoch
@@ -236,14 +237,14 @@
 	CompleteFrom Epoch
 	Reappend     bool
 	// ReadTo is, in a re-appended record, the offset up to which its writer had
-	// read the stream. A reader judges the records from there on itself.
+	// read the stream. A reader evaluates the records from there on itself.
 	ReadTo Offset
 }
 
 // ShardPull asks a node for its shard table.
 type ShardPull struct{ Have Epoch }
 
-// ShardTable passes on the assignments of a data centre.
+// ShardTable has the assignments of a data centre.
 type ShardTable struct {
 	Assignments []Assignment
 	// Next is the offset up to which the sender has read the stream. It is zero
@@ -261,11 +262,11 @@
 	ClaimVoid
 	// ClaimRan means that the request was run.
 	ClaimRan
-	// ClaimUnknown means that nobody can tell whether the request was run.
+	// ClaimUnknown means that no node has a record of whether the request was run.
 	ClaimUnknown
 )
 
-// Claim is what holder and standby record about a key.
+// Claim is the record of a key at its holder and standby.
 type Claim struct {
 	Key         Key
 	Fingerprint Fingerprint
@@ -283,8 +284,8 @@
 	Claim Claim
 }
 
-// ClaimAck tells the holder that its standby recorded updates up to Seq. Sealed
-// tells that the standby acknowledges nothing of the epoch any more.
+// ClaimAck acknowledges that the standby recorded the holder's updates up to Seq.
+// Sealed is set when the standby accepts no more updates of the epoch.
 type ClaimAck struct {
 	Shard  ShardRef
 	Epoch  Epoch
@@ -293,8 +294,8 @@
 	Sealed bool
 }
 
-// ClaimCopy carries a part of the claims of a shard to a new standby. Seq
-// numbers copies and updates in one sequence.
+// ClaimCopy transfers a part of the claims of a shard to a new standby. Copies and
+// updates share one sequence of Seq numbers. Last marks the end of the transfer.
 type ClaimCopy struct {
 	Shard        ShardRef
 	Epoch        Epoch
--- a/cassiatally/nodeinterfaces.go
+++ b/cassiatally/nodeinterfaces.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Logger writes log lines: an event, whose text is a constant, and key-value pairs.
+// Logger writes log lines. An event is a constant text; fields are key-value pairs.
 type Logger interface {
 	Debug(event any, fields ...any)
 	Info(event any, fields ...any)
@@ -13,19 +13,19 @@
 	Error(event any, fields ...any)
 }
 
-// Requests takes requests to route. The reply function is called once and must not
-// block.
+// Requests routes requests. The reply function is called once and must not block.
 type Requests interface {
-	// Submit returns false when there is no room; reply is then not called.
+	// Submit returns false when the queue is full; reply is then not called.
 	Submit(req Request, reply func(Answer)) bool
-	// Withdraw tells that nobody waits for a request any more.
+	// Withdraw cancels a request whose submitter no longer waits for the answer.
 	Withdraw(id CallID)
 }
 
-// KeyRequests takes the requests of a holder of idempotency keys.
+// KeyRequests routes the requests of a holder of idempotency keys.
 type KeyRequests interface {
 	Submit(req Request, reply func(Answer)) bool
-	// Ask asks a node for the outcome of a key.
+	// QueryKey queries the outcome of a key at a node. It returns false when the queue
+	// is full; reply is then not called.
 	Ask(to NodeID, q KeyQuery, timeout time.Duration, reply func(Answer)) bool
 }
 
@@ -35,12 +35,12 @@
 	Lookup(ctx context.Context, k Key) Answer
 }
 
-// Observer records how requests end.
+// Observer records the outcomes and times of requests.
 type Observer interface {
 	Request(p Policy, t Tenant, a Answer, took time.Duration)
 }
 
-// Metrics takes values to show to operators.
+// Metrics records gauges and counters for operators.
 type Metrics interface {
 	Gauge(name string, value float64)
 	RankGauge(name string, rank Rank, value float64)
@@ -48,22 +48,22 @@
 	Count(name string, tags map[string]string, delta int64)
 }
 
-// Links sends messages to nodes, and to addresses whose node is not yet known.
+// Links sends messages to nodes, and to addresses whose node is not yet identified.
 type Links interface {
 	Transport
 	SendAddress(to Address, m Message) error
 }
 
-// Inbound is a request as a front end received it.
+// Inbound is a request that a front end received, before it is routed.
 type Inbound struct {
 	Name RequestName
 	Host string
 	Head Head
 	Body []byte
-	// Remaining is the time that the caller will wait; 0 when it did not say.
+	// Remaining is the time until the caller's deadline; 0 when the caller sent none.
 	Remaining time.Duration
-	// Root names the caller's request at the beginning of the call chain, and Parent
-	// the request whose run makes the call; empty when there is none.
+	// Root is the name of the caller's request at the start of the call chain, and
+	// Parent that of the request whose run makes this call; empty when there is none.
 	Root, Parent RequestName
 }
 
@@ -73,22 +73,24 @@
 	Forward(ctx context.Context, in Inbound) Answer
 }
 
-// Announcement is what a backend server says about itself.
+// Announcement is the state that a backend server announces to its node.
 type Announcement struct {
 	Address  Address
 	Instance InstanceID
 	Endpoint Endpoint
 }
 
-// BackendGate is told about the backend server that it lets calls through to.
+// BackendGate admits calls to the announced backend server.
 type BackendGate interface {
+	// Announce submits an announcement. It returns false when the queue is full.
 	Announce(a Announcement) bool
+	// Withdraw ends the announcement in force.
 	Withdraw()
 }
 
-// InstanceRegistry takes what instances of the backend server of this host say.
+// InstanceRegistry records the instances of the backend server of this host.
 type InstanceRegistry interface {
-	// Report and Left return true once what was said is in force.
+	// Report and Deregister return true once the change is in force.
 	Report(ctx context.Context, r InstanceReport) bool
 	Left(ctx context.Context, id InstanceID) bool
 	// Ready reports whether callers may use the node.
--- a/cassiatally/outcome.go
+++ b/cassiatally/outcome.go
@@ -1,6 +1,6 @@
 package cassiatally
 
-// Outcome states whether a request was run.
+// Outcome is whether a request was run.
 type Outcome uint8
 
 const (
--- a/cassiatally/rendezvous.go
+++ b/cassiatally/rendezvous.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rendezvous returns the members in their rendezvous order for the subject. All
-// nodes with the same members get the same order, and a member that leaves
-// changes nothing for the others.
+// Rendezvous returns the members sorted by their rendezvous hash for the subject. All
+// nodes with the same members get the same order, and the removal of a member does
+// not change the order of the others.
 func Rendezvous(subject string, members []Member) []Member {
 	type scored struct {
 		score  uint64
@@ -31,7 +31,7 @@
 	return ordered
 }
 
-// StandbyFor returns the first member in rendezvous order that can stand by for
+// StandbyFor returns the first member in rendezvous order that can be the standby of
 // a holder: on another host, and not leaving. It returns false when there is none.
 func StandbyFor(s ShardRef, holder Member, members []Member) (Member, bool) {
 	for _, m := range Rendezvous(s.String(), members) {
--- a/cassiatally/request.go
+++ b/cassiatally/request.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Policy is what the sheet says about a request.
+// Policy is how a request is treated, as the sheet or its route specifies.
 type Policy struct {
 	Rank       Rank
 	Share      Share
@@ -11,8 +11,8 @@
 	Version    Version
 }
 
-// Request is a request that a node has to get an answer for: a caller's, an
-// onward call of a backend server, or a claimed one.
+// Request is a request submitted to the router of a node: a caller's, an onward call
+// of a backend server, or the run of a claimed key.
 type Request struct {
 	ID      CallID
 	Root    RootID
@@ -25,11 +25,11 @@
 	Key      Key
 	Deadline Instant
 	Retries  RetryCount
-	// Sends bounds the endpoints that this layer sends the request to; 0 means that
-	// only Retries does.
+	// Sends bounds the number of endpoints that this layer sends the request to; 0 means
+	// that only Retries bounds it.
 	Sends int
 	Depth Depth
-	// Repeated tells that a run further up the chain was repeated and makes its calls
+	// Repeated is set when a run further up the chain was retried and makes its calls
 	// again.
 	Repeated bool
 	Attempt  uint16
@@ -39,14 +39,15 @@
 	Caller Service
 	// Name is the caller's own id of the request, for logs.
 	Name RequestName
-	// Route has the services among which the request is divided; Service is chosen
-	// when it is submitted. It is nil when Service is set already.
+	// Route has the services of which one is chosen for Service when the request is
+	// submitted. It is nil when Service is already set.
 	Route *Route
 	Body  []byte
 }
 
-// Onward makes the request one that a front end has prepared, within what its
-// parent leaves it.
+// Onward copies into an onward call what a front end prepared for it. Rank,
+// retries and depth stay those that the parent run gave, and the earlier of the two
+// deadlines applies.
 func (r *Request) Onward(in *Request) {
 	r.Service, r.Work, r.Route = in.Service, in.Work, in.Route
 	r.Policy.Idempotent, r.Policy.Version = in.Policy.Idempotent, in.Policy.Version
--- a/cassiatally/routetable.go
+++ b/cassiatally/routetable.go
@@ -8,7 +8,7 @@
 	Weight  float64
 }
 
-// Route tells how requests of one host and path prefix are served.
+// Route is how requests with one host and path prefix are served.
 type Route struct {
 	Name WorkKind
 	Host string
@@ -20,18 +20,18 @@
 	// Timeout bounds the time from the arrival of a request to its final answer; 0
 	// means that only the caller's deadline does.
 	Timeout time.Duration
-	// Target is the time within which an answer is worth most.
+	// Target is the target latency of answers.
 	Target time.Duration
 	Rank   Rank
-	// Attempts is the most endpoints that one request may be sent to.
+	// Attempts bounds the endpoints that one request is sent to.
 	Attempts int
 }
 
-// ServiceSpec is what operators state about a service.
+// ServiceSpec is the configuration of a service.
 type ServiceSpec struct {
 	Name       Service
 	HealthPath string
-	// Connections is the most connections that each backend server accepts.
+	// Connections is the connection limit of each backend server.
 	Connections Concurrency
 }
 
@@ -52,7 +52,7 @@
 	Limits   RequestLimits
 }
 
-// Service returns what the table states about a service.
+// Service returns the configuration of a service.
 func (t *RouteTable) Service(name Service) (ServiceSpec, bool) {
 	for _, s := range t.Services {
 		if s.Name == name {
@@ -65,7 +65,7 @@
 // RoutePull asks for the route table in force when it is newer than Have.
 type RoutePull struct{ Have Version }
 
-// RouteUpdate passes on a route table.
+// RouteUpdate answers a RoutePull with the newer table.
 type RouteUpdate struct{ Table RouteTable }
 
 func (RoutePull) message()   {}
--- a/cassiatally/units.go
+++ b/cassiatally/units.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Instant is a reading of a monotonic clock, counted from an origin that only
-// its own process knows. Instants of different processes cannot be compared.
+// Instant is a reading of a monotonic clock whose origin differs between processes.
+// Instants of different processes cannot be compared.
 type Instant time.Duration
 
 // Add returns the instant d later.
@@ -21,8 +21,8 @@
 type (
 	// Rank orders kinds of work by urgency. Rank 0 is the most urgent.
 	Rank uint8
-	// Order is the stable value in [0, 1) that decides, within a rank, which
-	// root requests are served when capacity is short: the lowest first.
+	// Order is a fixed value in [0, 1) of a root request. When capacity is short, the
+	// requests of a rank with the lowest values are served.
 	Order float64
 	// Level is the fraction of order values in [0, 1] that a service can serve.
 	Level float64
@@ -39,7 +39,7 @@
 const (
 	// MaxRanks bounds the ranks of a sheet.
 	MaxRanks = 8
-	// MaxDepth bounds a call chain. The target size has chains of 17.
+	// MaxDepth bounds a call chain. A system of the target size has chains of 17.
 	MaxDepth Depth = 32
 	// MaxBody bounds the body of a request or an answer, in bytes.
 	MaxBody = 1 << 20
