--- a/cassiatally/registrar/fleettest/fleet_test.go
+++ b/cassiatally/registrar/fleettest/fleet_test.go
@@ -369,7 +369,7 @@
 				is.True(took <= c.change)
 			}
 			for i, n := range f.nodes {
-				f.send(i, n.SetSheet(f.now, 7))
+				f.send(i, n.SetSheetVersion(f.now, 7))
 			}
 			took := f.run(time.Minute, f.allNodes(func(i int) bool {
 				return !slices.ContainsFunc(f.refs, func(ref cassiatally.NodeRef) bool {
--- a/cassiatally/registrar/registrar.go
+++ b/cassiatally/registrar/registrar.go
@@ -237,8 +237,8 @@
 	return out
 }
 
-// Found adds members that a store has, and announces this node to them.
-func (r *Registrar) Found(now cassiatally.Instant, members []cassiatally.Member) []cassiatally.Action {
+// MergeStored adds members that a store has, and announces this node to them.
+func (r *Registrar) MergeStored(now cassiatally.Instant, members []cassiatally.Member) []cassiatally.Action {
 	r.lastEvent = now
 	r.recordStart(now)
 	m := merger{Registrar: r, now: now, from: r.cfg.Self}
@@ -296,10 +296,10 @@
 	return r.forward([]cassiatally.Member{r.self}, true)
 }
 
-// SetSheet records the version in force here and sends it to peers at once.
+// SetSheetVersion records the version in force here and sends it to peers at once.
 // It does not change the revision: all nodes change their version together, and
 // that many full entries would exceed the bound on traffic.
-func (r *Registrar) SetSheet(_ cassiatally.Instant, v cassiatally.Version) []cassiatally.Action {
+func (r *Registrar) SetSheetVersion(_ cassiatally.Instant, v cassiatally.Version) []cassiatally.Action {
 	if v <= r.self.Sheet {
 		return nil
 	}
--- a/cassiatally/registrar/registrar_test.go
+++ b/cassiatally/registrar/registrar_test.go
@@ -44,10 +44,10 @@
 	is.Equal(address, cassiatally.Address("10.0.0.2:1"))
 	is.Equal(len(a.View(0).LogReaders), 2)
 	is.Equal(a.View(0).LogReaders, b.View(0).LogReaders)
-	sent := a.SetSheet(0, 7)
+	sent := a.SetSheetVersion(0, 7)
 	is.Equal(len(sent), 1)
 	is.Equal(sent[0].(cassiatally.Send).Message.(cassiatally.Gossip).Sheet, cassiatally.Version(7))
-	is.Equal(len(a.SetSheet(0, 6)), 0)
+	is.Equal(len(a.SetSheetVersion(0, 6)), 0)
 }
 
 // Guards against stale gossip that adds a removed member again, and against a
@@ -152,7 +152,7 @@
 		}
 		return out
 	}
-	is.Equal(len(announcements(r.Found(now, stored))), 7)
+	is.Equal(len(announcements(r.MergeStored(now, stored))), 7)
 	ready := cassiatally.Endpoint{Service: "depot-svc", Slots: 5, State: cassiatally.EndpointReady}
 	is.Equal(len(announcements(r.SetEndpoint(now, ready))), 7)
 	ready.Slots = 6
--- a/cassiatally/router/answer.go
+++ b/cassiatally/router/answer.go
@@ -17,11 +17,11 @@
 	}
 	if a.Request != 0 && a.Request != p.tag && !faultswitch.Off(faultswitch.AnswerTag) {
 		// The answer to this call may still arrive; without it the call ends at its deadline.
-		r.counts.Foreign++
+		r.counts.ForeignAnswers++
 		return nil
 	}
 	if sentWithBody(a) && cassiatally.DigestOf(a.Body) != a.Digest {
-		r.counts.Incomplete++
+		r.counts.IncompleteAnswers++
 		a = incompleteAnswer(a, p)
 	}
 	r.recordLoads(now, p, a)
@@ -293,7 +293,7 @@
 
 // queryRun queries the outcome of a call at the node that it was sent to.
 func (r *Router) queryRun(now cassiatally.Instant, p *pending) []cassiatally.Action {
-	r.counts.Queries++
+	r.counts.OutcomeQueries++
 	r.scheduleWake(p, now.Add(queryPause))
 	return []cassiatally.Action{cassiatally.Send{
 		To:      p.target,
--- a/cassiatally/router/router.go
+++ b/cassiatally/router/router.go
@@ -66,14 +66,14 @@
 
 // Counts are totals since the start of the router, for operators.
 type Counts struct {
-	RefusedAtEntry uint64
-	Retries        uint64
-	Redirects      uint64
-	RetriesDenied  uint64
-	LateAnswers    uint64
-	Incomplete     uint64
-	Foreign        uint64
-	Queries        uint64
+	RefusedAtEntry    uint64
+	Retries           uint64
+	Redirects         uint64
+	RetriesDenied     uint64
+	LateAnswers       uint64
+	IncompleteAnswers uint64
+	ForeignAnswers    uint64
+	OutcomeQueries    uint64
 }
 
 // Router owns the requests that this node has submitted and not yet answered.
--- a/cassiatally/router/router_test.go
+++ b/cassiatally/router/router_test.go
@@ -279,7 +279,7 @@
 	is.Equal(len(h.HandleAnswer(start, to, crossed)), 0)
 	own := cassiatally.Answer{ID: call.ID, Request: call.Tag(), Outcome: cassiatally.OutcomeRan, Body: []byte("own"), Digest: cassiatally.DigestOf([]byte("own"))}
 	is.Equal(string(delivered(t, h.HandleAnswer(start, to, own)).Body), "own")
-	is.Equal(h.Counts().Foreign, uint64(1))
+	is.Equal(h.Counts().ForeignAnswers, uint64(1))
 }
 
 // Guards against a refusal, or a spent retry, for a call that could not be sent while
--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -195,7 +195,7 @@
 func (d *Dispatcher) tick(now cassiatally.Instant) {
 	d.carryOut(now, d.Router.Tick(now))
 	counts := d.Router.Counts()
-	counts.Foreign += d.foreign
+	counts.ForeignAnswers += d.foreign
 	d.counts.Store(&counts)
 	for id, a := range d.asks {
 		if now.Reached(a.deadline) {
--- a/node/memberkeeper/memberkeeper.go
+++ b/node/memberkeeper/memberkeeper.go
@@ -182,13 +182,13 @@
 }
 
 func (e sheetEvent) apply(k *Keeper, now cassiatally.Instant) {
-	k.carryOut(k.Registrar.SetSheet(now, e.version))
+	k.carryOut(k.Registrar.SetSheetVersion(now, e.version))
 }
 
 func (e epochsEvent) apply(k *Keeper, _ cassiatally.Instant) { k.Registrar.SetShardEpochs(e.sum) }
 
 func (e foundEvent) apply(k *Keeper, now cassiatally.Instant) {
-	actions := k.Registrar.Found(now, e.members)
+	actions := k.Registrar.MergeStored(now, e.members)
 	k.show(now) // the links of the introductions need the addresses
 	k.carryOut(actions)
 }
--- a/node/supervisor/status.go
+++ b/node/supervisor/status.go
@@ -66,9 +66,9 @@
 			RetriesDenied:  counts.RetriesDenied,
 			Redirects:      counts.Redirects,
 			LateAnswers:    counts.LateAnswers,
-			Incomplete:     counts.Incomplete,
-			Foreign:        counts.Foreign,
-			Queries:        counts.Queries,
+			Incomplete:     counts.IncompleteAnswers,
+			Foreign:        counts.ForeignAnswers,
+			Queries:        counts.OutcomeQueries,
 		},
 		Refused: map[string]uint64{
 			"dispatcher":   s.dispatcher.Refused(),
