--- a/cassiatally/admitter/admitter.go
+++ b/cassiatally/admitter/admitter.go
@@ -383,7 +383,7 @@
 
 // Cut records the end of a run that was broken off, so that it would have taken
 // longer.
-func (a *Admitter) Cut(now cassiatally.Instant, r cassiatally.Rank, busy time.Duration) {
+func (a *Admitter) CutOff(now cassiatally.Instant, r cassiatally.Rank, busy time.Duration) {
 	r = min(r, cassiatally.MaxRanks-1)
 	a.times.cut(r, busy)
 	a.ended(now)
--- a/cassiatally/admitter/fleet_test.go
+++ b/cassiatally/admitter/fleet_test.go
@@ -292,10 +292,10 @@
 	x := f.classes[c.class]
 	f.after(linkTime, func() {
 		c.from.balance.Finished(f.now, c.host.id, cassiatally.CallResult{Took: f.now.Sub(c.sent), Load: r.own})
-		c.from.loads.Learn(f.now, narrow, "deep", []cassiatally.ServiceLoad{r.load})
+		c.from.loads.RecordChain(f.now, narrow, "deep", []cassiatally.ServiceLoad{r.load})
 		if x.onward {
 			f.after(linkTime, func() {
-				c.entry.loads.Learn(f.now, wide, x.name, []cassiatally.ServiceLoad{r.load})
+				c.entry.loads.RecordChain(f.now, wide, x.name, []cassiatally.ServiceLoad{r.load})
 				f.conclude(c, to)
 			})
 			return
@@ -314,7 +314,7 @@
 		load: cassiatally.ServiceLoad{Service: narrow, Weight: float64(f.slots), Levels: h.queue.Levels()},
 		own: cassiatally.EndpointLoad{
 			Node: h.id, Limit: cassiatally.Concurrency(f.slots), InFlight: cassiatally.Concurrency(h.running), Queued: h.queue.Len(),
-			Typical: f.service,
+			TypicalSelfTime: f.service,
 		},
 	}
 }
@@ -332,7 +332,7 @@
 	for _, h := range f.hosts {
 		age := f.rng.IntN(int(gossipAge / queueTick))
 		if at := len(h.told) - 1 - age; at >= 0 {
-			n.loads.Observe(h.told[at].at, h.id, h.told[at].load)
+			n.loads.RecordEndpoint(h.told[at].at, h.id, h.told[at].load)
 		}
 	}
 }
--- a/cassiatally/admitter/model_test.go
+++ b/cassiatally/admitter/model_test.go
@@ -120,7 +120,7 @@
 			busy := now.Sub(r.began)
 			m.queue.Done(now, m.flows[c.flow].rank, busy)
 			if m.limiter != nil {
-				m.limiter.Observe(now, cassiatally.RunSample{Self: busy, InFlight: cassiatally.Concurrency(r.inFlight)})
+				m.limiter.Observe(now, cassiatally.RunSample{SelfTime: busy, InFlight: cassiatally.Concurrency(r.inFlight)})
 			}
 			inTime := !c.deadline.Before(now)
 			if inTime {
--- a/cassiatally/admitter/runtimes_test.go
+++ b/cassiatally/admitter/runtimes_test.go
@@ -48,7 +48,7 @@
 	}
 	s.now = s.now.Add(min(took, left))
 	if took > left {
-		s.Cut(s.now, r, left)
+		s.CutOff(s.now, r, left)
 	} else {
 		s.Done(s.now, r, took)
 	}
--- a/cassiatally/backend.go
+++ b/cassiatally/backend.go
@@ -84,7 +84,7 @@
 	Instance InstanceID
 	// StartedMs is when the instance started, in milliseconds of the Unix epoch; 0 when
 	// that is unknown.
-	Born int64
+	StartedMs int64
 	// Sequence grows with each report of an instance.
 	Sequence uint64
 	Service  Service
@@ -92,5 +92,5 @@
 	Slots    Concurrency
 	State    EndpointState
 	// ColdRemaining is how much longer the instance expects to be slow after its start.
-	Cold time.Duration
+	ColdRemaining time.Duration
 }
--- a/cassiatally/balancer/balancer.go
+++ b/cassiatally/balancer/balancer.go
@@ -255,7 +255,7 @@
 func (b *Balancer) wait(now cassiatally.Instant, e *endpoint) float64 {
 	age := now.Sub(e.reported)
 	others := e.others * math.Exp2(-float64(age)/float64(reportHalfLife))
-	typical := e.load.Typical
+	typical := e.load.TypicalSelfTime
 	if typical <= 0 {
 		typical = e.took
 	}
@@ -276,7 +276,7 @@
 func (b *Balancer) leastTypical(s cassiatally.Service) time.Duration {
 	least := unknownTypical
 	for _, e := range b.services[s] {
-		if t := e.load.Typical; t > 0 {
+		if t := e.load.TypicalSelfTime; t > 0 {
 			least = min(least, t)
 		}
 	}
@@ -318,7 +318,7 @@
 		e.report(now, r.Load)
 	}
 	e.calls++
-	if r.Unreached {
+	if r.Unreachable {
 		e.leaveOut(now)
 	} else {
 		e.outFor = 0
@@ -350,7 +350,7 @@
 }
 
 // Heard records that the node of the endpoint is in reach.
-func (b *Balancer) Heard(n cassiatally.NodeID) {
+func (b *Balancer) Responding(n cassiatally.NodeID) {
 	if e := b.nodes[n]; e != nil {
 		e.unreached, e.outFor = 0, 0
 	}
@@ -401,7 +401,7 @@
 }
 
 // Known reports whether any endpoint of the service is known, in any state.
-func (b *Balancer) Known(s cassiatally.Service) bool { return len(b.services[s]) > 0 }
+func (b *Balancer) HasEndpoint(s cassiatally.Service) bool { return len(b.services[s]) > 0 }
 
 func positive(v, otherwise float64) float64 {
 	if v > 0 {
--- a/cassiatally/balancer/balancer_test.go
+++ b/cassiatally/balancer/balancer_test.go
@@ -25,7 +25,7 @@
 	return cassiatally.Candidate{
 		Ref: cassiatally.NodeRef{Node: id, Incarnation: 1}, DataCentre: dc, Service: service,
 		Connections: 1000, State: cassiatally.EndpointReady,
-		Load: cassiatally.EndpointLoad{Node: id, Limit: 10, Typical: 10 * time.Millisecond},
+		Load: cassiatally.EndpointLoad{Node: id, Limit: 10, TypicalSelfTime: 10 * time.Millisecond},
 	}
 }
 
@@ -82,8 +82,8 @@
 				id = "none"
 			}
 			is.Equal(id, c.want)
-			is.True(b.Known(service))
-			is.True(!b.Known("other"))
+			is.True(b.HasEndpoint(service))
+			is.True(!b.HasEndpoint("other"))
 		})
 	}
 }
@@ -139,10 +139,10 @@
 	is := is.New(t)
 	b := newBalancer(1, candidates(1, 1))
 	b.Started(settled, "n0")
-	b.Finished(settled, "n0", cassiatally.CallResult{Failed: true, Unreached: true})
+	b.Finished(settled, "n0", cassiatally.CallResult{Failed: true, Unreachable: true})
 	is.Equal(spread(b, settled, 20)["n1"], 20)
 	b.Started(settled, "n1")
-	b.Finished(settled, "n1", cassiatally.CallResult{Failed: true, Unreached: true})
+	b.Finished(settled, "n1", cassiatally.CallResult{Failed: true, Unreachable: true})
 	is.Equal(spread(b, settled, 20)["none"], 0)
 	is.Equal(spread(b, settled.Add(2*time.Second), 20)["n0"], 20)
 }
@@ -154,7 +154,7 @@
 	b := newBalancer(1, candidates(1, 1))
 	b.Silent(settled, "n0")
 	is.Equal(spread(b, settled, 20)["n1"], 20)
-	b.Heard("n0")
+	b.Responding("n0")
 	is.Equal(spread(b, settled, 20)["n0"], 20)
 }
 
@@ -192,7 +192,7 @@
 	const slots = 8
 	all := candidates(2, 0)
 	for i := range all {
-		all[i].Load = cassiatally.EndpointLoad{Node: all[i].Ref.Node, Limit: slots, Typical: 10 * time.Millisecond}
+		all[i].Load = cassiatally.EndpointLoad{Node: all[i].Ref.Node, Limit: slots, TypicalSelfTime: 10 * time.Millisecond}
 	}
 	b := newBalancer(1, all)
 	b.SlowStart = -1
@@ -250,7 +250,7 @@
 	all := candidates(1, 1)
 	all[0].Connections, all[1].Connections = 20, 20
 	// The far endpoint is far slower, so that only the bound speaks for it.
-	all[1].Load.Typical = time.Minute
+	all[1].Load.TypicalSelfTime = time.Minute
 	b := newBalancer(1, all)
 	choose := func() cassiatally.NodeID {
 		id, ok := b.Choose(settled, service, nil)
@@ -351,7 +351,7 @@
 		if id, _ := b.Choose(now, service, nil); id == "n0" {
 			tries++
 			b.Started(now, "n0")
-			b.Finished(now, "n0", cassiatally.CallResult{Failed: true, Unreached: true})
+			b.Finished(now, "n0", cassiatally.CallResult{Failed: true, Unreachable: true})
 		}
 	}
 	is.True(tries >= 4)
@@ -359,7 +359,7 @@
 	b.Started(now, "n0")
 	b.Finished(now, "n0", cassiatally.CallResult{Took: time.Millisecond})
 	later := now.Add(5 * time.Second)
-	b.Finished(later, "n0", cassiatally.CallResult{Failed: true, Unreached: true})
+	b.Finished(later, "n0", cassiatally.CallResult{Failed: true, Unreachable: true})
 	is.Equal(spread(b, later.Add(1100*time.Millisecond), 20)["n0"], 20) // it starts with a short pause again
 }
 
@@ -368,7 +368,7 @@
 func TestNewEndpointOfAFastService(t *testing.T) {
 	is := is.New(t)
 	all := candidates(2, 0)
-	all[0].Load.Typical = 200 * time.Microsecond
+	all[0].Load.TypicalSelfTime = 200 * time.Microsecond
 	all[1].Load = cassiatally.EndpointLoad{}
 	b := newBalancer(1, all)
 	counts := make(map[cassiatally.NodeID]int)
--- a/cassiatally/budgeter/budgeter.go
+++ b/cassiatally/budgeter/budgeter.go
@@ -87,7 +87,7 @@
 
 // Take spends a token of the pair. A level below shortBelow means that the target
 // is already short of capacity: the bucket is emptied and nothing may be retried.
-func (b *Budgeter) Take(now cassiatally.Instant, p cassiatally.ServicePair, _ cassiatally.Rank, level cassiatally.Level) bool {
+func (b *Budgeter) TakeRetry(now cassiatally.Instant, p cassiatally.ServicePair, _ cassiatally.Rank, level cassiatally.Level) bool {
 	if faultswitch.Off(faultswitch.RetryBudget) {
 		return true
 	}
@@ -107,7 +107,7 @@
 // There are at most as many of these as the endpoint had slots, so they may be
 // retried when the target is short: the bucket keeps the successes of a second, or
 // lostBurst tokens, and earns as much as the other one.
-func (b *Budgeter) TakeLost(now cassiatally.Instant, p cassiatally.ServicePair) bool {
+func (b *Budgeter) TakeLostRetry(now cassiatally.Instant, p cassiatally.ServicePair) bool {
 	if faultswitch.Off(faultswitch.LostRetries) {
 		return false
 	}
--- a/cassiatally/budgeter/budgeter_test.go
+++ b/cassiatally/budgeter/budgeter_test.go
@@ -17,7 +17,7 @@
 	gap := time.Second / time.Duration(rate)
 	for now := from; now.Before(from.Add(d)); now = now.Add(gap) {
 		b.Succeeded(now, pair)
-		for b.Take(now, pair, 0, level) {
+		for b.TakeRetry(now, pair, 0, level) {
 			taken++
 		}
 	}
@@ -59,15 +59,15 @@
 	}
 	later := cassiatally.Instant(time.Hour)
 	taken := 0
-	for b.Take(later, pair, 0, 1) {
+	for b.TakeRetry(later, pair, 0, 1) {
 		taken++
 	}
 	is.Equal(taken, 10)
 	later = later.Add(time.Minute)
-	is.True(b.Take(later, pair, 0, 1))
-	is.True(!b.Take(later, pair, 0, 0.5))
-	is.True(!b.Take(later, pair, 0, 1))
-	is.True(b.Take(later.Add(time.Second), pair, 0, 1))
+	is.True(b.TakeRetry(later, pair, 0, 1))
+	is.True(!b.TakeRetry(later, pair, 0, 0.5))
+	is.True(!b.TakeRetry(later, pair, 0, 1))
+	is.True(b.TakeRetry(later.Add(time.Second), pair, 0, 1))
 }
 
 // Guards against callers that are told unknown because the endpoint of their
@@ -76,14 +76,14 @@
 func TestLostRuns(t *testing.T) {
 	is := is.New(t)
 	takeAll := func(b *budgeter.Budgeter, now cassiatally.Instant) (taken int) {
-		for b.TakeLost(now, pair) {
+		for b.TakeLostRetry(now, pair) {
 			taken++
 		}
 		return taken
 	}
 	b := &budgeter.Budgeter{}
-	is.True(b.Take(0, pair, 0, 1))
-	is.True(!b.Take(0, pair, 0, 0.5))
+	is.True(b.TakeRetry(0, pair, 0, 1))
+	is.True(!b.TakeRetry(0, pair, 0, 0.5))
 	is.Equal(takeAll(b, 0), 32) // also for a new pair, in a shortage
 	taken := 0
 	for now := cassiatally.Instant(0); now.Before(cassiatally.Instant(100 * time.Second)); now = now.Add(time.Millisecond) {
@@ -100,7 +100,7 @@
 	most := takeAll(saved, cassiatally.Instant(time.Minute))
 	is.True(most >= 200) // the successes of a second
 	is.True(most <= 220)
-	is.True(saved.Take(cassiatally.Instant(time.Minute), pair, 0, 1)) // the other budget is left
+	is.True(saved.TakeRetry(cassiatally.Instant(time.Minute), pair, 0, 1)) // the other budget is left
 }
 
 // Guards against memory that grows with the pairs, and against pairs that take
@@ -109,12 +109,12 @@
 	is := is.New(t)
 	b := &budgeter.Budgeter{MaxPairs: 2, Idle: time.Minute}
 	to := func(s cassiatally.Service) cassiatally.ServicePair { return cassiatally.ServicePair{To: s} }
-	is.True(b.Take(0, to("a"), 0, 1))
-	is.True(!b.Take(0, to("a"), 0, 1))
-	is.True(b.Take(0, to("b"), 0, 1))
-	is.True(!b.Take(0, to("c"), 0, 1)) // beyond the bound
+	is.True(b.TakeRetry(0, to("a"), 0, 1))
+	is.True(!b.TakeRetry(0, to("a"), 0, 1))
+	is.True(b.TakeRetry(0, to("b"), 0, 1))
+	is.True(!b.TakeRetry(0, to("c"), 0, 1)) // beyond the bound
 	later := cassiatally.Instant(2 * time.Minute)
-	is.True(b.Take(later, to("c"), 0, 1)) // idle pairs are forgotten
+	is.True(b.TakeRetry(later, to("c"), 0, 1)) // idle pairs are forgotten
 }
 
 // Guards against a call tree that spends more retries than its root has.
@@ -152,6 +152,6 @@
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
 		k.Succeeded(now, pair)
-		k.Take(now, pair, 0, 1)
+		k.TakeRetry(now, pair, 0, 1)
 	}
 }
--- a/cassiatally/fifo/fifo.go
+++ b/cassiatally/fifo/fifo.go
@@ -64,7 +64,7 @@
 func (q *Queue) Done(cassiatally.Instant, cassiatally.Rank, time.Duration) {}
 
 // Cut does nothing; the baseline measures nothing.
-func (q *Queue) Cut(cassiatally.Instant, cassiatally.Rank, time.Duration) {}
+func (q *Queue) CutOff(cassiatally.Instant, cassiatally.Rank, time.Duration) {}
 
 // Tick does nothing; the levels of the baseline never change.
 func (q *Queue) Tick(cassiatally.Instant, cassiatally.Concurrency) {}
--- a/cassiatally/fixedlimiter/fixedlimiter.go
+++ b/cassiatally/fixedlimiter/fixedlimiter.go
@@ -55,11 +55,11 @@
 		return
 	}
 	if l.typical == 0 {
-		l.typical = s.Self
+		l.typical = s.SelfTime
 		return
 	}
-	l.typical += time.Duration(typicalWeight * float64(s.Self-l.typical))
+	l.typical += time.Duration(typicalWeight * float64(s.SelfTime-l.typical))
 }
 
 // Typical returns the smoothed self time.
-func (l *Limiter) Typical() time.Duration { return l.typical }
+func (l *Limiter) TypicalSelfTime() time.Duration { return l.typical }
--- a/cassiatally/fixedlimiter/fixedlimiter_test.go
+++ b/cassiatally/fixedlimiter/fixedlimiter_test.go
@@ -27,10 +27,10 @@
 			is := is.New(t)
 			l := &c.limiter
 			l.Resize(0, 15)
-			l.Observe(0, cassiatally.RunSample{Self: time.Second})
-			l.Observe(0, cassiatally.RunSample{Self: time.Minute, Failed: true})
+			l.Observe(0, cassiatally.RunSample{SelfTime: time.Second})
+			l.Observe(0, cassiatally.RunSample{SelfTime: time.Minute, Failed: true})
 			is.Equal(l.Limit(), c.want)
-			is.Equal(l.Typical(), time.Second)
+			is.Equal(l.TypicalSelfTime(), time.Second)
 		})
 	}
 }
--- a/cassiatally/instancetracker/tracker.go
+++ b/cassiatally/instancetracker/tracker.go
@@ -42,7 +42,7 @@
 }
 
 func (e retirement) covers(now cassiatally.Instant, r cassiatally.InstanceReport) bool {
-	return now.Before(e.until) || r.Born <= e.born
+	return now.Before(e.until) || r.StartedMs <= e.born
 }
 
 // Current returns the latest report of the instance in place. It returns false when
@@ -63,11 +63,11 @@
 	if e, ended := t.retired[r.Instance]; ended && e.covers(now, r) {
 		return false
 	}
-	if t.known && r.Born != 0 && r.Born < t.current.Born {
+	if t.known && r.StartedMs != 0 && r.StartedMs < t.current.StartedMs {
 		return false
 	}
 	if t.known {
-		t.retire(t.current.Instance, retirement{born: t.current.Born})
+		t.retire(t.current.Instance, retirement{born: t.current.StartedMs})
 	}
 	t.current, t.known, t.left = r, true, false
 	return true
@@ -80,7 +80,7 @@
 // sameStart reports whether two reports are of the same start of an instance. One
 // that does not tell its start is taken for the one that is known.
 func sameStart(a, b cassiatally.InstanceReport) bool {
-	return a.Instance == b.Instance && (a.Born == b.Born || a.Born == 0 || b.Born == 0)
+	return a.Instance == b.Instance && (a.StartedMs == b.StartedMs || a.StartedMs == 0 || b.StartedMs == 0)
 }
 
 func (t *Tracker) renew(r cassiatally.InstanceReport) bool {
@@ -91,8 +91,8 @@
 		// An instance that leaves does not come back.
 		r.State = cassiatally.EndpointDraining
 	}
-	if r.Born == 0 {
-		r.Born = t.current.Born
+	if r.StartedMs == 0 {
+		r.StartedMs = t.current.StartedMs
 	}
 	t.current = r
 	return true
--- a/cassiatally/instancetracker/tracker_test.go
+++ b/cassiatally/instancetracker/tracker_test.go
@@ -11,7 +11,7 @@
 )
 
 func report(id cassiatally.InstanceID, born int64, seq uint64, s cassiatally.EndpointState) cassiatally.InstanceReport {
-	return cassiatally.InstanceReport{Instance: id, Born: born, Sequence: seq, Service: "depot-svc", Address: "10.0.0.1:80", State: s}
+	return cassiatally.InstanceReport{Instance: id, StartedMs: born, Sequence: seq, Service: "depot-svc", Address: "10.0.0.1:80", State: s}
 }
 
 const (
@@ -38,7 +38,7 @@
 		{"same id starts again", []cassiatally.InstanceReport{report("a", 5, 9, draining), report("a", 7, 1, ready)}, "a", ready, true},
 		{"late report of the start before", []cassiatally.InstanceReport{report("a", 7, 1, ready), report("a", 5, 9, draining)}, "a", ready, false},
 		{"known by a health check only", []cassiatally.InstanceReport{report("a", 0, 0, ready), report("a", 5, 4, ready)}, "a", ready, true},
-		{"without service", []cassiatally.InstanceReport{report("a", 5, 1, ready), {Instance: "b", Born: 9, Sequence: 1, Address: "x", State: ready}}, "a", ready, false},
+		{"without service", []cassiatally.InstanceReport{report("a", 5, 1, ready), {Instance: "b", StartedMs: 9, Sequence: 1, Address: "x", State: ready}}, "a", ready, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/cassiatally/interfaces.go
+++ b/cassiatally/interfaces.go
@@ -29,7 +29,7 @@
 // Batch has consecutive records of a stream.
 type Batch struct {
 	// Oldest is the oldest offset that the log still has.
-	First Offset
+	Oldest Offset
 	// Next is the offset to read from next.
 	Next    Offset
 	Records []LogRecord
@@ -86,7 +86,7 @@
 	Done(now Instant, r Rank, busy time.Duration)
 	// CutOff records the end of a run that was cut off after busy and would have taken
 	// longer.
-	Cut(now Instant, r Rank, busy time.Duration)
+	CutOff(now Instant, r Rank, busy time.Duration)
 	// Tick updates the levels. It must be called at least every 100 ms.
 	Tick(now Instant, limit Concurrency)
 	// Levels returns the level of each rank.
@@ -98,7 +98,7 @@
 // RunSample is the measurement of a finished run for the limiter.
 type RunSample struct {
 	// SelfTime is the run time less the time in which an onward call was outstanding.
-	Self time.Duration
+	SelfTime time.Duration
 	// InFlight is the concurrency at the start of the run.
 	InFlight Concurrency
 	// Failed is set for crashes and refusals by the backend server. A run that was
@@ -113,7 +113,7 @@
 	Resize(now Instant, slots Concurrency)
 	Observe(now Instant, s RunSample)
 	// TypicalSelfTime returns the smoothed self time of a run.
-	Typical() time.Duration
+	TypicalSelfTime() time.Duration
 }
 
 // Candidate is an endpoint that the balancer may choose.
@@ -139,9 +139,9 @@
 	// Silent records that the node of the endpoint has sent nothing for some time.
 	Silent(now Instant, n NodeID)
 	// Responding records that the node of the endpoint sends again.
-	Heard(n NodeID)
+	Responding(n NodeID)
 	// HasEndpoint reports whether the service has an endpoint, in any state.
-	Known(s Service) bool
+	HasEndpoint(s Service) bool
 }
 
 // CallResult is the measurement of a finished call for the balancer.
@@ -149,7 +149,7 @@
 	Took   time.Duration
 	Failed bool
 	// Unreachable is set when the node of the endpoint could not be reached.
-	Unreached bool
+	Unreachable bool
 	// Load is the endpoint's own report; its Node is empty when there is none.
 	Load EndpointLoad
 }
@@ -162,10 +162,10 @@
 type RetryBudget interface {
 	// TakeRetry reports whether a retry of a request of the rank may be sent now, and
 	// spends a token if so. A lower level of the target service shrinks the budget.
-	Take(now Instant, p ServicePair, r Rank, level Level) bool
+	TakeRetry(now Instant, p ServicePair, r Rank, level Level) bool
 	// TakeLostRetry does the same for a run that was cut off by the loss of an endpoint,
 	// at any level.
-	TakeLost(now Instant, p ServicePair) bool
+	TakeLostRetry(now Instant, p ServicePair) bool
 	// Requested records the first send of a request. A repeated one belongs to a run
 	// that was retried further up the chain.
 	Requested(now Instant, p ServicePair, repeated bool)
@@ -178,10 +178,10 @@
 type LoadTracker interface {
 	// RecordChain records the levels of the services in the call chain of a kind of
 	// work, as an answer reports them.
-	Learn(now Instant, s Service, w WorkKind, loads []ServiceLoad)
+	RecordChain(now Instant, s Service, w WorkKind, loads []ServiceLoad)
 	// RecordEndpoint records the levels that one endpoint had at an instant, as gossip
 	// reports them. A report that is not newer than the last one is ignored.
-	Observe(at Instant, n NodeID, load ServiceLoad)
+	RecordEndpoint(at Instant, n NodeID, load ServiceLoad)
 	// Admit reports whether the whole chain serves the order value, and if not, the
 	// service that lacks the capacity.
 	Admit(now Instant, s Service, w WorkKind, r Rank, o Order) (bool, Service)
@@ -205,7 +205,7 @@
 	// Reports returns the crash reports to send to other nodes.
 	Reports(now Instant) []CrashReport
 	// ReportsOf returns all crash reports of some requests.
-	News(now Instant, of []Fingerprint) []CrashReport
+	ReportsOf(now Instant, of []Fingerprint) []CrashReport
 	// Merge records the crash reports of another node.
 	Merge(now Instant, reports []CrashReport)
 }
--- a/cassiatally/limiter/limiter.go
+++ b/cassiatally/limiter/limiter.go
@@ -202,7 +202,7 @@
 }
 
 // Typical returns the smoothed self time.
-func (l *Limiter) Typical() time.Duration { return time.Duration(l.typical) }
+func (l *Limiter) TypicalSelfTime() time.Duration { return time.Duration(l.typical) }
 
 // Resize sets the slots that the backend server announces; 0 means unknown.
 // Announcements repeat, so slots that did not change must not disturb a window.
@@ -239,7 +239,7 @@
 	if l.failures < failureRate/2 {
 		l.failing = false
 	}
-	self := float64(s.Self)
+	self := float64(s.SelfTime)
 	if l.typical == 0 {
 		l.typical, l.concurrency = self, float64(s.InFlight)
 	}
@@ -262,7 +262,7 @@
 // after a change are of runs that started before it, and mostly of short runs.
 // Runs that started above the limit belong to the time before a cut.
 func (l *Limiter) counts(now cassiatally.Instant, s cassiatally.RunSample) bool {
-	return now.Reached(l.window.since) && s.InFlight <= l.Limit() && !now.Add(-s.Self).Before(l.fresh)
+	return now.Reached(l.window.since) && s.InFlight <= l.Limit() && !now.Add(-s.SelfTime).Before(l.fresh)
 }
 
 // leave remembers the state in which the backend server had its normal speed.
@@ -285,8 +285,8 @@
 		l.normal = normal{}
 		return false
 	}
-	self := float64(s.Self)
-	began := now.Add(-s.Self)
+	self := float64(s.SelfTime)
+	began := now.Add(-s.SelfTime)
 	if self > aboveFloor*l.normal.floor {
 		// Runs that began before the first fast one say nothing about the time since.
 		if l.fast.n > 0 && !began.Before(l.fast.since) {
@@ -349,7 +349,7 @@
 // restart begins a window once the runs of the earlier limit have ended.
 func (l *Limiter) restart(now cassiatally.Instant) {
 	l.learnSpread()
-	l.window = window{since: now.Add(l.Typical()), look: leastSamples}
+	l.window = window{since: now.Add(l.TypicalSelfTime()), look: leastSamples}
 }
 
 // evaluate looks at the window and decides on the limit if it can.
@@ -463,7 +463,7 @@
 func (l *Limiter) probeDue(now cassiatally.Instant, near bool) bool {
 	age := now.Sub(l.refreshed)
 	if l.falling {
-		return age >= fallingTimes*l.Typical()
+		return age >= fallingTimes*l.TypicalSelfTime()
 	}
 	return age >= l.refresh() || (!near && !l.verified && age >= settleTime)
 }
@@ -560,7 +560,7 @@
 	if l.failures < failureRate {
 		return
 	}
-	if l.cutAt != 0 && now.Sub(l.cutAt) < l.Typical() {
+	if l.cutAt != 0 && now.Sub(l.cutAt) < l.TypicalSelfTime() {
 		return
 	}
 	l.cutAt = now
--- a/cassiatally/limiter/limiter_test.go
+++ b/cassiatally/limiter/limiter_test.go
@@ -210,12 +210,12 @@
 	l := &limiter.Limiter{}
 	l.Resize(0, 1000)
 	now := cassiatally.Instant(time.Second)
-	l.Observe(now, cassiatally.RunSample{Self: self, InFlight: 1})
+	l.Observe(now, cassiatally.RunSample{SelfTime: self, InFlight: 1})
 	for range 50 {
-		l.Observe(now, cassiatally.RunSample{Self: self, InFlight: 1, Failed: true})
+		l.Observe(now, cassiatally.RunSample{SelfTime: self, InFlight: 1, Failed: true})
 	}
 	is.Equal(l.Limit(), cassiatally.Concurrency(70))
-	l.Observe(now.Add(self), cassiatally.RunSample{Self: self, InFlight: 1, Failed: true})
+	l.Observe(now.Add(self), cassiatally.RunSample{SelfTime: self, InFlight: 1, Failed: true})
 	is.Equal(l.Limit(), cassiatally.Concurrency(49))
 }
 
@@ -282,6 +282,6 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(100 * time.Microsecond)
-		l.Observe(now, cassiatally.RunSample{Self: 10 * time.Millisecond, InFlight: l.Limit()})
+		l.Observe(now, cassiatally.RunSample{SelfTime: 10 * time.Millisecond, InFlight: l.Limit()})
 	}
 }
--- a/cassiatally/limiter/model_test.go
+++ b/cassiatally/limiter/model_test.go
@@ -93,7 +93,7 @@
 		}
 		sum += self
 		s.flights--
-		s.limiter.Observe(now, cassiatally.RunSample{Self: self, InFlight: j.inFlight, Failed: failed})
+		s.limiter.Observe(now, cassiatally.RunSample{SelfTime: self, InFlight: j.inFlight, Failed: failed})
 		if len(s.backlog) > 0 {
 			s.begin(now, s.backlog[0])
 			s.backlog = s.backlog[1:]
--- a/cassiatally/loadtracker/loadtracker.go
+++ b/cassiatally/loadtracker/loadtracker.go
@@ -94,7 +94,7 @@
 var _ cassiatally.LoadTracker = (*Tracker)(nil)
 
 // Learn records the levels of the services that a (service, kind) touched.
-func (t *Tracker) Learn(now cassiatally.Instant, s cassiatally.Service, w cassiatally.WorkKind, loads []cassiatally.ServiceLoad) {
+func (t *Tracker) RecordChain(now cassiatally.Instant, s cassiatally.Service, w cassiatally.WorkKind, loads []cassiatally.ServiceLoad) {
 	c := t.chain(now, work{s, w})
 	for _, load := range loads {
 		if c != nil {
@@ -108,7 +108,7 @@
 
 // Observe records the levels that one endpoint had at an instant. Gossip repeats
 // old reports; only a newer one is news.
-func (t *Tracker) Observe(at cassiatally.Instant, n cassiatally.NodeID, load cassiatally.ServiceLoad) {
+func (t *Tracker) RecordEndpoint(at cassiatally.Instant, n cassiatally.NodeID, load cassiatally.ServiceLoad) {
 	v := t.service(at, load.Service)
 	if v == nil {
 		return
--- a/cassiatally/loadtracker/loadtracker_test.go
+++ b/cassiatally/loadtracker/loadtracker_test.go
@@ -19,8 +19,8 @@
 // and against refusals for services that the request does not touch.
 func TestAdmit(t *testing.T) {
 	t0 := &loadtracker.Tracker{}
-	t0.Learn(0, "booking", "confirm", []cassiatally.ServiceLoad{load("booking", 10, 1, 0.8), load("depot", 10, 1, 0.5), load("avail", 10, 0.9, 0.3)})
-	t0.Learn(0, "booking", "view", []cassiatally.ServiceLoad{load("booking", 10, 1, 0.8)})
+	t0.RecordChain(0, "booking", "confirm", []cassiatally.ServiceLoad{load("booking", 10, 1, 0.8), load("depot", 10, 1, 0.5), load("avail", 10, 0.9, 0.3)})
+	t0.RecordChain(0, "booking", "view", []cassiatally.ServiceLoad{load("booking", 10, 1, 0.8)})
 	cases := []struct {
 		name  string
 		work  cassiatally.WorkKind
@@ -68,8 +68,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			l := &loadtracker.Tracker{}
-			l.Observe(0, "large", load(service, 30, 0.25))
-			l.Observe(0, "small", load(service, 10, 0.85))
+			l.RecordEndpoint(0, "large", load(service, 30, 0.25))
+			l.RecordEndpoint(0, "small", load(service, 10, 0.85))
 			got := l.Level(cassiatally.Instant(c.age), service, 0)
 			is.True(got > c.want-0.001 && got < c.want+0.001)
 		})
@@ -81,9 +81,9 @@
 func TestSilentEndpointLosesItsWeight(t *testing.T) {
 	is := is.New(t)
 	l := &loadtracker.Tracker{}
-	l.Observe(0, "silent", load("avail", 10, 1))
+	l.RecordEndpoint(0, "silent", load("avail", 10, 1))
 	later := cassiatally.Instant(10 * time.Second)
-	l.Observe(later, "alive", load("avail", 10, 0.2))
+	l.RecordEndpoint(later, "alive", load("avail", 10, 0.2))
 	is.Equal(l.Level(later, "avail", 0), cassiatally.Level(0.2))
 }
 
@@ -92,11 +92,11 @@
 	is := is.New(t)
 	l := &loadtracker.Tracker{}
 	for n := range 4 {
-		l.Observe(0, cassiatally.NodeID(fmt.Sprint("n", n)), load("avail", 10, 1))
+		l.RecordEndpoint(0, cassiatally.NodeID(fmt.Sprint("n", n)), load("avail", 10, 1))
 	}
 	later := cassiatally.Instant(900 * time.Millisecond)
 	for range 20 {
-		l.Learn(later, "avail", "check", []cassiatally.ServiceLoad{load("avail", 10, 0.1)})
+		l.RecordChain(later, "avail", "check", []cassiatally.ServiceLoad{load("avail", 10, 0.1)})
 	}
 	is.True(l.Level(later, "avail", 0) < 0.2)
 }
@@ -107,12 +107,12 @@
 	is := is.New(t)
 	l := &loadtracker.Tracker{}
 	for range 20 {
-		l.Learn(0, "avail", "check", []cassiatally.ServiceLoad{load("avail", 10, 0.9)})
+		l.RecordChain(0, "avail", "check", []cassiatally.ServiceLoad{load("avail", 10, 0.9)})
 	}
-	l.Learn(0, "avail", "check", []cassiatally.ServiceLoad{load("avail", 10, 0.1)})
+	l.RecordChain(0, "avail", "check", []cassiatally.ServiceLoad{load("avail", 10, 0.1)})
 	is.True(l.Level(0, "avail", 0) > 0.6)
 	for range 20 {
-		l.Learn(0, "avail", "check", []cassiatally.ServiceLoad{load("avail", 10, 0.1)})
+		l.RecordChain(0, "avail", "check", []cassiatally.ServiceLoad{load("avail", 10, 0.1)})
 	}
 	is.True(l.Level(0, "avail", 0) < 0.11)
 }
@@ -124,10 +124,10 @@
 	is := is.New(t)
 	l := &loadtracker.Tracker{}
 	now := cassiatally.Instant(time.Second)
-	l.Learn(now, "avail", "check", []cassiatally.ServiceLoad{load("avail", 10, 0.1)})
+	l.RecordChain(now, "avail", "check", []cassiatally.ServiceLoad{load("avail", 10, 0.1)})
 	for range 5 {
 		now = now.Add(pause)
-		l.Learn(now, "avail", "check", []cassiatally.ServiceLoad{load("avail", 10, 1)})
+		l.RecordChain(now, "avail", "check", []cassiatally.ServiceLoad{load("avail", 10, 1)})
 	}
 	is.True(l.Level(now, "avail", 0) > 0.95)
 }
@@ -139,15 +139,15 @@
 	is := is.New(t)
 	l := &loadtracker.Tracker{}
 	for range 20 {
-		l.Learn(0, "avail", "check", []cassiatally.ServiceLoad{load("avail", 10, 0.1)})
+		l.RecordChain(0, "avail", "check", []cassiatally.ServiceLoad{load("avail", 10, 0.1)})
 	}
 	for i := range 4 {
-		l.Observe(0, cassiatally.NodeID(fmt.Sprint("n", i)), load("avail", 10, 0.1))
+		l.RecordEndpoint(0, cassiatally.NodeID(fmt.Sprint("n", i)), load("avail", 10, 0.1))
 	}
 	now := cassiatally.Instant(0)
 	for l.Level(now, "avail", 0) < 0.6 && now.Before(cassiatally.Instant(2*most)) {
 		now = now.Add(apart)
-		l.Learn(now, "avail", "check", []cassiatally.ServiceLoad{load("avail", 10, 1)})
+		l.RecordChain(now, "avail", "check", []cassiatally.ServiceLoad{load("avail", 10, 1)})
 	}
 	is.True(now.Sub(0) <= most)
 }
@@ -157,10 +157,10 @@
 func TestForgetsServicesNoLongerTouched(t *testing.T) {
 	is := is.New(t)
 	l := &loadtracker.Tracker{}
-	l.Learn(0, "booking", "confirm", []cassiatally.ServiceLoad{load("booking", 1, 1), load("avail", 1, 0.1)})
+	l.RecordChain(0, "booking", "confirm", []cassiatally.ServiceLoad{load("booking", 1, 1), load("avail", 1, 0.1)})
 	later := cassiatally.Instant(6 * time.Minute)
-	l.Learn(later, "booking", "confirm", []cassiatally.ServiceLoad{load("booking", 1, 1)})
-	l.Observe(later, "n1", load("avail", 1, 0.1))
+	l.RecordChain(later, "booking", "confirm", []cassiatally.ServiceLoad{load("booking", 1, 1)})
+	l.RecordEndpoint(later, "n1", load("avail", 1, 0.1))
 	ok, _ := l.Admit(later, "booking", "confirm", 0, 0.9)
 	is.True(ok)
 }
@@ -172,7 +172,7 @@
 	l := &loadtracker.Tracker{MaxKinds: 10, MaxServices: 10}
 	learn := func(now cassiatally.Instant, i int) {
 		s := cassiatally.Service(fmt.Sprint("s", i))
-		l.Learn(now, s, "w", []cassiatally.ServiceLoad{load(s, 1, 0.5), load("shared", 1, 0.2)})
+		l.RecordChain(now, s, "w", []cassiatally.ServiceLoad{load(s, 1, 0.5), load("shared", 1, 0.2)})
 	}
 	for i := range 100 {
 		learn(0, i)
@@ -192,10 +192,10 @@
 		v := load(cassiatally.Service(fmt.Sprint("s", i)), 10, 1, 0.9)
 		loads = append(loads, v)
 		for n := range endpoints {
-			l.Observe(0, cassiatally.NodeID(fmt.Sprint("n", n)), v)
+			l.RecordEndpoint(0, cassiatally.NodeID(fmt.Sprint("n", n)), v)
 		}
 	}
-	l.Learn(0, "s0", "w", loads)
+	l.RecordChain(0, "s0", "w", loads)
 	b.ReportAllocs()
 	for b.Loop() {
 		l.Admit(0, "s0", "w", 1, 0.5)
--- a/cassiatally/logclient/client.go
+++ b/cassiatally/logclient/client.go
@@ -121,7 +121,7 @@
 	if err := json.Unmarshal(body, &wire); err != nil {
 		return cassiatally.Batch{}, unavailable("the answer to a read is malformed: %v", err)
 	}
-	b := cassiatally.Batch{First: wire.First, Next: wire.Next}
+	b := cassiatally.Batch{Oldest: wire.First, Next: wire.Next}
 	expected := max(from, wire.First)
 	for _, r := range wire.Records {
 		expires, err := time.ParseDuration(r.Expires)
--- a/cassiatally/message.go
+++ b/cassiatally/message.go
@@ -123,7 +123,7 @@
 	InFlight Concurrency
 	Queued   int
 	// TypicalSelfTime is the smoothed self time of a run.
-	Typical time.Duration
+	TypicalSelfTime time.Duration
 }
 
 // ServiceLoad has the level of each rank at an endpoint of a service, or the mean over
@@ -176,27 +176,27 @@
 	// Heartbeat grows with every gossip round of the member.
 	Heartbeat uint64
 	// Revision grows when anything but heartbeat, load, levels and sheet version changes.
-	Revision uint64
-	Leaving  bool
-	Sheet    Version
-	Endpoint Endpoint
+	Revision     uint64
+	Leaving      bool
+	SheetVersion Version
+	Endpoint     Endpoint
 }
 
 // Gossip carries changed members, the version in force and crash reports.
 type Gossip struct {
-	From    NodeRef
-	Reply   bool
-	Members []Member
-	Sheet   Version
-	Crashes []CrashReport
+	From         NodeRef
+	Reply        bool
+	Members      []Member
+	SheetVersion Version
+	Crashes      []CrashReport
 	// ShardEpochs is the sum of the shard epochs of the sender's data centre. A receiver
 	// in the same data centre whose sum is lower pulls the shard table.
 	ShardEpochs Epoch
 	// CrashNumber is the number of the sender's crash that Crashes reports. The receiver
 	// acknowledges it in CrashAck once it has merged the reports. Such a message carries
 	// nothing else.
-	CrashNews CrashNumber
-	CrashAck  CrashNumber
+	CrashNumber CrashNumber
+	CrashAck    CrashNumber
 }
 
 // CrashReport counts the backend server crashes at one node while a request with the
--- a/cassiatally/nodeinterfaces.go
+++ b/cassiatally/nodeinterfaces.go
@@ -26,7 +26,7 @@
 	Submit(req Request, reply func(Answer)) bool
 	// QueryKey queries the outcome of a key at a node. It returns false when the queue
 	// is full; reply is then not called.
-	Ask(to NodeID, q KeyQuery, timeout time.Duration, reply func(Answer)) bool
+	QueryKey(to NodeID, q KeyQuery, timeout time.Duration, reply func(Answer)) bool
 }
 
 // Keys mints idempotency keys and looks up their outcomes.
@@ -92,7 +92,7 @@
 type InstanceRegistry interface {
 	// Report and Deregister return true once the change is in force.
 	Report(ctx context.Context, r InstanceReport) bool
-	Left(ctx context.Context, id InstanceID) bool
+	Deregister(ctx context.Context, id InstanceID) bool
 	// Ready reports whether callers may use the node.
 	Ready() bool
 }
--- a/cassiatally/protocol/bench_test.go
+++ b/cassiatally/protocol/bench_test.go
@@ -16,14 +16,14 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	g := cassiatally.Gossip{From: cassiatally.NodeRef{Node: "backend-host-0001", Incarnation: 1 << 50}, Sheet: 70}
+	g := cassiatally.Gossip{From: cassiatally.NodeRef{Node: "backend-host-0001", Incarnation: 1 << 50}, SheetVersion: 70}
 	for i := range 50 {
 		m := cassiatally.Member{
 			Ref:       cassiatally.NodeRef{Node: cassiatally.NodeID(fmt.Sprintf("backend-host-%04d", i)), Incarnation: 1 << 50},
-			Heartbeat: 1000, Revision: 3, Sheet: 70,
+			Heartbeat: 1000, Revision: 3, SheetVersion: 70,
 		}
 		if i%4 == 0 {
-			m.Endpoint.Load = cassiatally.EndpointLoad{Limit: 90, InFlight: 57, Queued: 12, Typical: 12345678}
+			m.Endpoint.Load = cassiatally.EndpointLoad{Limit: 90, InFlight: 57, Queued: 12, TypicalSelfTime: 12345678}
 			m.Endpoint.Levels = []cassiatally.Level{1, 1, 0.93, 0.12}
 		}
 		g.Members = append(g.Members, m)
@@ -65,7 +65,7 @@
 	answer := cassiatally.Answer{
 		ID: call.ID, Request: call.Tag(), Outcome: cassiatally.OutcomeRan, Status: 200, Body: body, Digest: cassiatally.DigestOf(body),
 		Fields:   []cassiatally.Field{{Name: "Request-Id", Value: string(call.Name)}, {Name: "Content-Digest", Value: "3e1b.07.5a2.600.0.c9f2a4d1"}},
-		Endpoint: cassiatally.EndpointLoad{Node: "sidecar-zone-a-1", Limit: 127, InFlight: 20, Typical: time.Second},
+		Endpoint: cassiatally.EndpointLoad{Node: "sidecar-zone-a-1", Limit: 127, InFlight: 20, TypicalSelfTime: time.Second},
 		Loads: []cassiatally.ServiceLoad{
 			{Service: "yeje52a", Weight: 127, Levels: make([]cassiatally.Level, cassiatally.MaxRanks)},
 			{Service: "tiye53d", Weight: 17, Levels: make([]cassiatally.Level, cassiatally.MaxRanks)},
--- a/cassiatally/protocol/codec_test.go
+++ b/cassiatally/protocol/codec_test.go
@@ -17,7 +17,7 @@
 	ref := cassiatally.NodeRef{Node: "depot-1", Incarnation: 7}
 	id := cassiatally.CallID{Origin: 7, Seq: 9}
 	shard := cassiatally.ShardRef{DataCentre: "north", Shard: 3}
-	load := cassiatally.EndpointLoad{Node: "depot-1", Limit: 12, InFlight: 3, Queued: 1, Typical: time.Millisecond}
+	load := cassiatally.EndpointLoad{Node: "depot-1", Limit: 12, InFlight: 3, Queued: 1, TypicalSelfTime: time.Millisecond}
 	levels := cassiatally.ServiceLoad{Service: "avail-svc", Weight: 15, Levels: []cassiatally.Level{1, 0.5}}
 	answer := cassiatally.Answer{
 		ID: id, Request: 11, Outcome: cassiatally.OutcomeRan, Status: 200, ContentType: "text/plain",
@@ -25,7 +25,7 @@
 		OwnFailure: true, RetriesSpent: 1, Fields: []cassiatally.Field{{Name: "A", Value: "b"}}, Endpoint: load, Loads: []cassiatally.ServiceLoad{levels},
 	}
 	member := cassiatally.Member{
-		Ref: ref, DataCentre: "north", Address: "127.0.0.1:1", Heartbeat: 4, Revision: 2, Leaving: true, Sheet: 3,
+		Ref: ref, DataCentre: "north", Address: "127.0.0.1:1", Heartbeat: 4, Revision: 2, Leaving: true, SheetVersion: 3,
 		Endpoint: cassiatally.Endpoint{Service: "avail-svc", Slots: 15, Connections: 200, State: cassiatally.EndpointReady, Load: load, Levels: []cassiatally.Level{1}},
 	}
 	claim := cassiatally.Claim{Key: "north.3.1.00000000000000ff", Fingerprint: 5, State: cassiatally.ClaimRan, Answer: &answer}
@@ -38,7 +38,7 @@
 		cassiatally.Cancel{ID: id},
 		cassiatally.RunQuery{ID: id, Target: 7, Request: 11},
 		cassiatally.KeyQuery{ID: id, Key: claim.Key},
-		cassiatally.Gossip{From: ref, Reply: true, Members: []cassiatally.Member{member}, Sheet: 3, Crashes: []cassiatally.CrashReport{{Fingerprint: 1, Reporter: ref, Crashes: 2, Completed: true}}, ShardEpochs: 4, CrashNews: 5, CrashAck: 6},
+		cassiatally.Gossip{From: ref, Reply: true, Members: []cassiatally.Member{member}, SheetVersion: 3, Crashes: []cassiatally.CrashReport{{Fingerprint: 1, Reporter: ref, Crashes: 2, Completed: true}}, ShardEpochs: 4, CrashNumber: 5, CrashAck: 6},
 		cassiatally.SheetPull{Have: 2},
 		cassiatally.SheetRecord{Version: 3, BasedOn: 2, Publisher: "p", Reappend: true, Sheet: []byte("s"), Digest: cassiatally.DigestOf([]byte("s"))},
 		cassiatally.ShardPull{Have: 3},
--- a/cassiatally/protocol/wire.go
+++ b/cassiatally/protocol/wire.go
@@ -59,11 +59,11 @@
 }
 
 type wireEndpointLoad struct {
-	Node     cassiatally.NodeID      `cbor:"1,keyasint,omitempty"`
-	Limit    cassiatally.Concurrency `cbor:"2,keyasint,omitempty"`
-	InFlight cassiatally.Concurrency `cbor:"3,keyasint,omitempty"`
-	Queued   int                     `cbor:"4,keyasint,omitempty"`
-	Typical  time.Duration           `cbor:"5,keyasint,omitempty"`
+	Node            cassiatally.NodeID      `cbor:"1,keyasint,omitempty"`
+	Limit           cassiatally.Concurrency `cbor:"2,keyasint,omitempty"`
+	InFlight        cassiatally.Concurrency `cbor:"3,keyasint,omitempty"`
+	Queued          int                     `cbor:"4,keyasint,omitempty"`
+	TypicalSelfTime time.Duration           `cbor:"5,keyasint,omitempty"`
 }
 
 func toEndpointLoad(m cassiatally.EndpointLoad) wireEndpointLoad { return wireEndpointLoad(m) }
@@ -114,39 +114,39 @@
 }
 
 type wireMember struct {
-	Ref        wireNodeRef            `cbor:"1,keyasint,omitempty"`
-	DataCentre cassiatally.DataCentre `cbor:"2,keyasint,omitempty"`
-	Address    cassiatally.Address    `cbor:"3,keyasint,omitempty"`
-	Heartbeat  uint64                 `cbor:"4,keyasint,omitempty"`
-	Revision   uint64                 `cbor:"5,keyasint,omitempty"`
-	Leaving    bool                   `cbor:"6,keyasint,omitempty"`
-	Sheet      cassiatally.Version    `cbor:"7,keyasint,omitempty"`
-	Endpoint   wireEndpoint           `cbor:"8,keyasint,omitempty"`
+	Ref          wireNodeRef            `cbor:"1,keyasint,omitempty"`
+	DataCentre   cassiatally.DataCentre `cbor:"2,keyasint,omitempty"`
+	Address      cassiatally.Address    `cbor:"3,keyasint,omitempty"`
+	Heartbeat    uint64                 `cbor:"4,keyasint,omitempty"`
+	Revision     uint64                 `cbor:"5,keyasint,omitempty"`
+	Leaving      bool                   `cbor:"6,keyasint,omitempty"`
+	SheetVersion cassiatally.Version    `cbor:"7,keyasint,omitempty"`
+	Endpoint     wireEndpoint           `cbor:"8,keyasint,omitempty"`
 }
 
 func toMember(m cassiatally.Member) wireMember {
 	return wireMember{
-		Ref:        toNodeRef(m.Ref),
-		DataCentre: m.DataCentre,
-		Address:    m.Address,
-		Heartbeat:  m.Heartbeat,
-		Revision:   m.Revision,
-		Leaving:    m.Leaving,
-		Sheet:      m.Sheet,
-		Endpoint:   toEndpoint(m.Endpoint),
+		Ref:          toNodeRef(m.Ref),
+		DataCentre:   m.DataCentre,
+		Address:      m.Address,
+		Heartbeat:    m.Heartbeat,
+		Revision:     m.Revision,
+		Leaving:      m.Leaving,
+		SheetVersion: m.SheetVersion,
+		Endpoint:     toEndpoint(m.Endpoint),
 	}
 }
 
 func fromMember(w wireMember) cassiatally.Member {
 	return cassiatally.Member{
-		Ref:        fromNodeRef(w.Ref),
-		DataCentre: w.DataCentre,
-		Address:    w.Address,
-		Heartbeat:  w.Heartbeat,
-		Revision:   w.Revision,
-		Leaving:    w.Leaving,
-		Sheet:      w.Sheet,
-		Endpoint:   fromEndpoint(w.Endpoint),
+		Ref:          fromNodeRef(w.Ref),
+		DataCentre:   w.DataCentre,
+		Address:      w.Address,
+		Heartbeat:    w.Heartbeat,
+		Revision:     w.Revision,
+		Leaving:      w.Leaving,
+		SheetVersion: w.SheetVersion,
+		Endpoint:     fromEndpoint(w.Endpoint),
 	}
 }
 
@@ -452,39 +452,39 @@
 }
 
 type wireGossip struct {
-	From        wireNodeRef         `cbor:"1,keyasint,omitempty"`
-	Reply       bool                `cbor:"2,keyasint,omitempty"`
-	Members     []wireMember        `cbor:"3,keyasint,omitempty"`
-	Sheet       cassiatally.Version `cbor:"4,keyasint,omitempty"`
-	Crashes     []wireCrashReport   `cbor:"5,keyasint,omitempty"`
-	ShardEpochs cassiatally.Epoch   `cbor:"6,keyasint,omitempty"`
-	CrashNews   uint64              `cbor:"7,keyasint,omitempty"`
-	CrashAck    uint64              `cbor:"8,keyasint,omitempty"`
+	From         wireNodeRef         `cbor:"1,keyasint,omitempty"`
+	Reply        bool                `cbor:"2,keyasint,omitempty"`
+	Members      []wireMember        `cbor:"3,keyasint,omitempty"`
+	SheetVersion cassiatally.Version `cbor:"4,keyasint,omitempty"`
+	Crashes      []wireCrashReport   `cbor:"5,keyasint,omitempty"`
+	ShardEpochs  cassiatally.Epoch   `cbor:"6,keyasint,omitempty"`
+	CrashNumber  uint64              `cbor:"7,keyasint,omitempty"`
+	CrashAck     uint64              `cbor:"8,keyasint,omitempty"`
 }
 
 func toGossip(m cassiatally.Gossip) wireGossip {
 	return wireGossip{
-		From:        toNodeRef(m.From),
-		Reply:       m.Reply,
-		Members:     each(m.Members, toMember),
-		Sheet:       m.Sheet,
-		Crashes:     each(m.Crashes, toCrashReport),
-		ShardEpochs: m.ShardEpochs,
-		CrashNews:   uint64(m.CrashNews),
-		CrashAck:    uint64(m.CrashAck),
+		From:         toNodeRef(m.From),
+		Reply:        m.Reply,
+		Members:      each(m.Members, toMember),
+		SheetVersion: m.SheetVersion,
+		Crashes:      each(m.Crashes, toCrashReport),
+		ShardEpochs:  m.ShardEpochs,
+		CrashNumber:  uint64(m.CrashNumber),
+		CrashAck:     uint64(m.CrashAck),
 	}
 }
 
 func fromGossip(w wireGossip) cassiatally.Gossip {
 	return cassiatally.Gossip{
-		From:        fromNodeRef(w.From),
-		Reply:       w.Reply,
-		Members:     each(w.Members, fromMember),
-		Sheet:       w.Sheet,
-		Crashes:     each(w.Crashes, fromCrashReport),
-		ShardEpochs: w.ShardEpochs,
-		CrashNews:   cassiatally.CrashNumber(w.CrashNews),
-		CrashAck:    cassiatally.CrashNumber(w.CrashAck),
+		From:         fromNodeRef(w.From),
+		Reply:        w.Reply,
+		Members:      each(w.Members, fromMember),
+		SheetVersion: w.SheetVersion,
+		Crashes:      each(w.Crashes, fromCrashReport),
+		ShardEpochs:  w.ShardEpochs,
+		CrashNumber:  cassiatally.CrashNumber(w.CrashNumber),
+		CrashAck:     cassiatally.CrashNumber(w.CrashAck),
 	}
 }
 
--- a/cassiatally/publisher/publisher_test.go
+++ b/cassiatally/publisher/publisher_test.go
@@ -60,7 +60,7 @@
 		f.readErrors--
 		return cassiatally.Batch{}, errDown
 	}
-	b := cassiatally.Batch{First: f.first, Next: max(from, f.first)}
+	b := cassiatally.Batch{Oldest: f.first, Next: max(from, f.first)}
 	// Two records a batch, so that a reader has to go on reading.
 	for len(b.Records) < 2 && int(b.Next-f.first) < len(f.records) {
 		b.Records = append(b.Records, cassiatally.LogRecord{Offset: b.Next, Data: f.records[b.Next-f.first]})
--- a/cassiatally/quarantiner/quarantiner.go
+++ b/cassiatally/quarantiner/quarantiner.go
@@ -171,7 +171,7 @@
 // News returns all that is known of the crashes of some requests. Who merges the
 // reports in their order comes to the same count: crashes that a completed run has
 // settled stand before that run, and those after it behind it.
-func (q *Quarantiner) News(now cassiatally.Instant, of []cassiatally.Fingerprint) []cassiatally.CrashReport {
+func (q *Quarantiner) ReportsOf(now cassiatally.Instant, of []cassiatally.Fingerprint) []cassiatally.CrashReport {
 	var out []cassiatally.CrashReport
 	told := map[cassiatally.Fingerprint]bool{}
 	for _, f := range of {
--- a/cassiatally/quarantiner/quarantiner_test.go
+++ b/cassiatally/quarantiner/quarantiner_test.go
@@ -150,8 +150,8 @@
 	all[1].Completed(start, innocent)
 	all[1].Crashed(start, []cassiatally.Fingerprint{poison, 3})
 	all[1].Crashed(start, []cassiatally.Fingerprint{poison})
-	is.Equal(len(all[1].News(start, []cassiatally.Fingerprint{3, 3, 4})), 1)
-	all[2].Merge(start, all[1].News(start, []cassiatally.Fingerprint{poison, innocent}))
+	is.Equal(len(all[1].ReportsOf(start, []cassiatally.Fingerprint{3, 3, 4})), 1)
+	all[2].Merge(start, all[1].ReportsOf(start, []cassiatally.Fingerprint{poison, innocent}))
 	is.True(all[2].Blocked(start, poison))
 	is.True(!all[2].Suspect(start, innocent))
 	is.True(!all[2].Suspect(start, 3)) // was not asked about
@@ -168,9 +168,9 @@
 		all[1].Completed(start, poison)
 		for _, q := range []*quarantiner.Quarantiner{all[2], all[0]} {
 			q.Crashed(start, []cassiatally.Fingerprint{poison})
-			all[1].Merge(start, q.News(start, []cassiatally.Fingerprint{poison}))
+			all[1].Merge(start, q.ReportsOf(start, []cassiatally.Fingerprint{poison}))
 		}
-		all[3].Merge(start, all[1].News(start, []cassiatally.Fingerprint{poison}))
+		all[3].Merge(start, all[1].ReportsOf(start, []cassiatally.Fingerprint{poison}))
 		is.True(all[1].Suspect(start, poison))
 		is.Equal(all[3].Suspect(start, poison), all[1].Suspect(start, poison))
 		is.Equal(all[3].Blocked(start, poison), all[1].Blocked(start, poison))
--- a/cassiatally/registrar/fleettest/fleet_test.go
+++ b/cassiatally/registrar/fleettest/fleet_test.go
@@ -96,7 +96,7 @@
 	return cassiatally.Endpoint{
 		Service: cassiatally.Service(fmt.Sprintf("service-%03d", service)), Slots: slots, Connections: 750,
 		State:  cassiatally.EndpointReady,
-		Load:   cassiatally.EndpointLoad{Limit: 90, InFlight: 57, Queued: 12, Typical: 12345678},
+		Load:   cassiatally.EndpointLoad{Limit: 90, InFlight: 57, Queued: 12, TypicalSelfTime: 12345678},
 		Levels: []cassiatally.Level{1, 1, 0.93, 0.12},
 	}
 }
@@ -374,7 +374,7 @@
 			took := f.run(time.Minute, f.allNodes(func(i int) bool {
 				return !slices.ContainsFunc(f.refs, func(ref cassiatally.NodeRef) bool {
 					m, found := f.nodes[i].Member(ref.Node)
-					return found && m.Sheet != 7
+					return found && m.SheetVersion != 7
 				})
 			}))
 			t.Logf("version of each received by all after %v", took)
--- a/cassiatally/registrar/merge.go
+++ b/cassiatally/registrar/merge.go
@@ -72,7 +72,7 @@
 	if id == m.cfg.Self.Node {
 		if query.Ref == m.self.Ref && query.Revision == m.self.Revision {
 			// Without the load, the answers to all queries fit into the node's allowance.
-			m.answers = append(m.answers, cassiatally.Member{Ref: m.self.Ref, Heartbeat: m.self.Heartbeat, Revision: m.self.Revision, Sheet: m.self.Sheet})
+			m.answers = append(m.answers, cassiatally.Member{Ref: m.self.Ref, Heartbeat: m.self.Heartbeat, Revision: m.self.Revision, SheetVersion: m.self.SheetVersion})
 			return
 		}
 		m.answers = append(m.answers, m.self)
@@ -85,7 +85,7 @@
 		if m.now.Sub(e.grewAt) >= m.cfg.relayPeriod() {
 			return
 		}
-		m.answers = append(m.answers, cassiatally.Member{Ref: query.Ref, Heartbeat: e.member.Heartbeat, Revision: query.Revision, Sheet: e.member.Sheet})
+		m.answers = append(m.answers, cassiatally.Member{Ref: query.Ref, Heartbeat: e.member.Heartbeat, Revision: query.Revision, SheetVersion: e.member.SheetVersion})
 	default:
 		m.answers = append(m.answers, e.member)
 	}
@@ -135,7 +135,7 @@
 	heartbeat := max(e.member.Heartbeat, in.Heartbeat)
 	if in.Heartbeat > e.member.Heartbeat {
 		e.grewAt, e.sent = m.lastAlive(e, in), 0
-		e.member.Sheet = max(e.member.Sheet, in.Sheet)
+		e.member.SheetVersion = max(e.member.SheetVersion, in.SheetVersion)
 		if in.Endpoint.Load != (cassiatally.EndpointLoad{}) {
 			e.loadAt = e.grewAt
 			e.member.Endpoint.Load = in.Endpoint.Load
--- a/cassiatally/registrar/registrar.go
+++ b/cassiatally/registrar/registrar.go
@@ -300,10 +300,10 @@
 // It does not change the revision: all nodes change their version together, and
 // that many full entries would exceed the bound on traffic.
 func (r *Registrar) SetSheetVersion(_ cassiatally.Instant, v cassiatally.Version) []cassiatally.Action {
-	if v <= r.self.Sheet {
+	if v <= r.self.SheetVersion {
 		return nil
 	}
-	r.self.Sheet = v
+	r.self.SheetVersion = v
 	return r.forward(nil, true)
 }
 
@@ -468,7 +468,7 @@
 }
 
 func (r *Registrar) gossipMessage(members []cassiatally.Member) cassiatally.Gossip {
-	return cassiatally.Gossip{From: r.cfg.Self, Members: members, Sheet: r.self.Sheet, ShardEpochs: r.shardEpochSum}
+	return cassiatally.Gossip{From: r.cfg.Self, Members: members, SheetVersion: r.self.SheetVersion, ShardEpochs: r.shardEpochSum}
 }
 
 // roundMessage composes the message of a gossip round: this node, recent changes, and
--- a/cassiatally/registrar/registrar_test.go
+++ b/cassiatally/registrar/registrar_test.go
@@ -46,7 +46,7 @@
 	is.Equal(a.View(0).LogReaders, b.View(0).LogReaders)
 	sent := a.SetSheetVersion(0, 7)
 	is.Equal(len(sent), 1)
-	is.Equal(sent[0].(cassiatally.Send).Message.(cassiatally.Gossip).Sheet, cassiatally.Version(7))
+	is.Equal(sent[0].(cassiatally.Send).Message.(cassiatally.Gossip).SheetVersion, cassiatally.Version(7))
 	is.Equal(len(a.SetSheetVersion(0, 6)), 0)
 }
 
--- a/cassiatally/registrar/updates.go
+++ b/cassiatally/registrar/updates.go
@@ -101,7 +101,7 @@
 	if m.Endpoint.Load != (cassiatally.EndpointLoad{}) {
 		size += loadBytes
 	}
-	if m.Sheet > 0 {
+	if m.SheetVersion > 0 {
 		size += sheetBytes
 	}
 	texts := len(m.Ref.Node) + len(m.DataCentre) + len(m.Address) + len(m.Endpoint.Service) + len(m.Endpoint.Load.Node)
@@ -121,7 +121,7 @@
 // others need them to decide whether to query the full entry.
 func (r *Registrar) heartbeatEntry(m cassiatally.Member, within bool) cassiatally.Member {
 	// A changed sheet version makes no new revision, so each heartbeat carries it.
-	out := cassiatally.Member{Ref: m.Ref, Heartbeat: m.Heartbeat, Revision: m.Revision, Sheet: m.Sheet}
+	out := cassiatally.Member{Ref: m.Ref, Heartbeat: m.Heartbeat, Revision: m.Revision, SheetVersion: m.SheetVersion}
 	if r.carriesLoad(m.Heartbeat) {
 		out.Endpoint.Load = m.Endpoint.Load
 		out.Endpoint.Load.Node = ""
--- a/cassiatally/request.go
+++ b/cassiatally/request.go
@@ -45,10 +45,10 @@
 	Body  []byte
 }
 
-// Onward copies into an onward call what a front end prepared for it. Rank,
+// ApplyPrepared copies into an onward call what a front end prepared for it. Rank,
 // retries and depth stay those that the parent run gave, and the earlier of the two
 // deadlines applies.
-func (r *Request) Onward(in *Request) {
+func (r *Request) ApplyPrepared(in *Request) {
 	r.Service, r.Work, r.Route = in.Service, in.Work, in.Route
 	r.Policy.Idempotent, r.Policy.Version = in.Policy.Idempotent, in.Policy.Version
 	r.Policy.Target = in.Policy.Target
--- a/cassiatally/router/answer.go
+++ b/cassiatally/router/answer.go
@@ -59,7 +59,7 @@
 
 func (r *Router) recordLoads(now cassiatally.Instant, p *pending, a cassiatally.Answer) {
 	if len(a.Loads) > 0 {
-		r.cfg.Loads.Learn(now, p.req.Service, p.req.Work, a.Loads)
+		r.cfg.Loads.RecordChain(now, p.req.Service, p.req.Work, a.Loads)
 	}
 }
 
@@ -198,10 +198,10 @@
 // that lost an endpoint keeps its right to the allowance for lost requests also when a
 // later endpoint refuses it.
 func (r *Router) takeBudgetToken(now cassiatally.Instant, p *pending) bool {
-	if p.endpointLost && r.cfg.Budget.TakeLost(now, p.servicePair()) {
+	if p.endpointLost && r.cfg.Budget.TakeLostRetry(now, p.servicePair()) {
 		return true
 	}
-	return r.cfg.Budget.Take(now, p.servicePair(), p.req.Policy.Rank, r.cfg.Loads.Level(now, p.req.Service, p.req.Policy.Rank))
+	return r.cfg.Budget.TakeRetry(now, p.servicePair(), p.req.Policy.Rank, r.cfg.Loads.Level(now, p.req.Service, p.req.Policy.Rank))
 }
 
 // LinkLost handles the loss of the link to a node. Idempotent calls are retried
@@ -245,7 +245,7 @@
 	p.sends++
 	p.endpointLost = true
 	p.avoid = append(p.avoid, silent)
-	r.finishAttempt(now, p, cassiatally.CallResult{Took: now.Sub(p.sentAt), Failed: true, Unreached: true})
+	r.finishAttempt(now, p, cassiatally.CallResult{Took: now.Sub(p.sentAt), Failed: true, Unreachable: true})
 	cancel := cassiatally.Send{To: silent, Message: cassiatally.Cancel{ID: attempt}}
 	return append(r.sendRun(now, p), cancel)
 }
@@ -273,7 +273,7 @@
 		target := p.target
 		p.retriesSpent += p.retriesDelegated
 		p.retriesDelegated = 0
-		r.finishAttempt(now, p, cassiatally.CallResult{Took: now.Sub(p.sentAt), Failed: true, Unreached: true})
+		r.finishAttempt(now, p, cassiatally.CallResult{Took: now.Sub(p.sentAt), Failed: true, Unreachable: true})
 		a := unknownOutcome(cassiatally.KindOutcomeUnknown, "the connection to the backend server's node was lost")
 		a.Endpoint.Node = target
 		return r.handleFailure(now, p, a)
@@ -313,7 +313,7 @@
 	}
 	p.retriesLeft += p.retriesDelegated
 	p.retriesDelegated = 0
-	r.finishAttempt(now, p, cassiatally.CallResult{Took: now.Sub(p.sentAt), Failed: true, Unreached: true})
+	r.finishAttempt(now, p, cassiatally.CallResult{Took: now.Sub(p.sentAt), Failed: true, Unreachable: true})
 	if p.isClaim {
 		return r.deferClaim(now, p)
 	}
--- a/cassiatally/router/router.go
+++ b/cassiatally/router/router.go
@@ -187,7 +187,7 @@
 }
 
 func (r *Router) noEndpointAnswer(p *pending) cassiatally.Answer {
-	if r.cfg.Balancer.Known(p.req.Service) {
+	if r.cfg.Balancer.HasEndpoint(p.req.Service) {
 		return refusal(cassiatally.KindNoBackend, "no backend server of "+string(p.req.Service)+" takes work; send again later")
 	}
 	return refusal(cassiatally.KindUnknownService, "no backend server of "+string(p.req.Service)+" has announced itself")
--- a/cassiatally/router/router_test.go
+++ b/cassiatally/router/router_test.go
@@ -22,12 +22,12 @@
 	b.silent = append(b.silent, n)
 }
 
-func (b *listBalancer) Heard(cassiatally.NodeID) {}
+func (b *listBalancer) Responding(cassiatally.NodeID) {}
 
 func (b *listBalancer) Update(cassiatally.Instant, []cassiatally.Candidate)                      {}
 func (b *listBalancer) Started(cassiatally.Instant, cassiatally.NodeID)                          {}
 func (b *listBalancer) Finished(cassiatally.Instant, cassiatally.NodeID, cassiatally.CallResult) {}
-func (b *listBalancer) Known(cassiatally.Service) bool                                           { return len(b.nodes) > 0 }
+func (b *listBalancer) HasEndpoint(cassiatally.Service) bool                                     { return len(b.nodes) > 0 }
 
 func (b *listBalancer) Choose(_ cassiatally.Instant, _ cassiatally.Service, avoid []cassiatally.NodeID) (cassiatally.NodeID, bool) {
 	for _, n := range b.nodes {
@@ -46,11 +46,11 @@
 // requests, and these only with lost set.
 type stubBudget struct{ denied, lostAllowed bool }
 
-func (b stubBudget) Take(cassiatally.Instant, cassiatally.ServicePair, cassiatally.Rank, cassiatally.Level) bool {
+func (b stubBudget) TakeRetry(cassiatally.Instant, cassiatally.ServicePair, cassiatally.Rank, cassiatally.Level) bool {
 	return !b.denied
 }
 
-func (b stubBudget) TakeLost(cassiatally.Instant, cassiatally.ServicePair) bool {
+func (b stubBudget) TakeLostRetry(cassiatally.Instant, cassiatally.ServicePair) bool {
 	return b.lostAllowed
 }
 func (b stubBudget) Requested(cassiatally.Instant, cassiatally.ServicePair, bool) {}
@@ -59,9 +59,9 @@
 
 type stubLoads struct{ short bool }
 
-func (l stubLoads) Learn(cassiatally.Instant, cassiatally.Service, cassiatally.WorkKind, []cassiatally.ServiceLoad) {
+func (l stubLoads) RecordChain(cassiatally.Instant, cassiatally.Service, cassiatally.WorkKind, []cassiatally.ServiceLoad) {
 }
-func (l stubLoads) Observe(cassiatally.Instant, cassiatally.NodeID, cassiatally.ServiceLoad) {}
+func (l stubLoads) RecordEndpoint(cassiatally.Instant, cassiatally.NodeID, cassiatally.ServiceLoad) {}
 func (l stubLoads) Admit(cassiatally.Instant, cassiatally.Service, cassiatally.WorkKind, cassiatally.Rank, cassiatally.Order) (bool, cassiatally.Service) {
 	return !l.short, "avail-svc"
 }
--- a/cassiatally/runner/children.go
+++ b/cassiatally/runner/children.go
@@ -244,7 +244,7 @@
 		Body:     c.Body,
 	}
 	if c.Onward != nil {
-		req.Onward(c.Onward)
+		req.ApplyPrepared(c.Onward)
 	}
 	return []cassiatally.Action{cassiatally.Submit{Request: req}}
 }
--- a/cassiatally/runner/crash.go
+++ b/cassiatally/runner/crash.go
@@ -46,7 +46,7 @@
 // HandleCrashNews takes crashes that another node tells and acknowledges them.
 func (r *Runner) HandleCrashNews(now cassiatally.Instant, from cassiatally.NodeID, g cassiatally.Gossip) []cassiatally.Action {
 	r.quarantine.Merge(now, g.Crashes)
-	return []cassiatally.Action{cassiatally.Send{To: from, Message: cassiatally.Gossip{From: r.self, Reply: true, CrashAck: g.CrashNews}}}
+	return []cassiatally.Action{cassiatally.Send{To: from, Message: cassiatally.Gossip{From: r.self, Reply: true, CrashAck: g.CrashNumber}}}
 }
 
 // HandleCrashAck takes the acknowledgement of a crash.
@@ -94,7 +94,7 @@
 		return actions
 	}
 	c := &crash{
-		number: r.crashes, news: r.quarantine.News(now, inFlight), waiting: peers,
+		number: r.crashes, news: r.quarantine.ReportsOf(now, inFlight), waiting: peers,
 		until: now.Add(withholdFor), again: now.Add(tellEvery),
 	}
 	r.untold = append(r.untold, c)
@@ -110,7 +110,7 @@
 func (c *crash) tell(actions []cassiatally.Action, self cassiatally.NodeRef) []cassiatally.Action {
 	for _, n := range c.waiting {
 		actions = append(actions, cassiatally.Send{To: n, Message: cassiatally.Gossip{
-			From: self, Reply: true, Crashes: c.news, CrashNews: c.number,
+			From: self, Reply: true, Crashes: c.news, CrashNumber: c.number,
 		}})
 	}
 	return actions
--- a/cassiatally/runner/crashfleet_test.go
+++ b/cassiatally/runner/crashfleet_test.go
@@ -235,10 +235,10 @@
 // loses reports whether a message about a crash is lost on its way.
 func (m *fleetModel) loses(from *fleetNode, s cassiatally.Send) bool {
 	g, ok := s.Message.(cassiatally.Gossip)
-	if !ok || g.CrashNews == 0 && g.CrashAck == 0 {
+	if !ok || g.CrashNumber == 0 && g.CrashAck == 0 {
 		return false
 	}
-	id := newsID{from.ref.Node, s.To, g.CrashNews, g.CrashAck}
+	id := newsID{from.ref.Node, s.To, g.CrashNumber, g.CrashAck}
 	m.dropped[id]++
 	return m.dropped[id] <= m.plan.lost
 }
@@ -262,7 +262,7 @@
 
 func (n *fleetNode) gossip(from cassiatally.NodeRef, g cassiatally.Gossip) {
 	switch {
-	case g.CrashNews != 0:
+	case g.CrashNumber != 0:
 		n.carryOut(n.HandleCrashNews(n.m.now, from.Node, g))
 		return
 	case g.CrashAck != 0:
--- a/cassiatally/runner/recoverytest/fleet_test.go
+++ b/cassiatally/runner/recoverytest/fleet_test.go
@@ -204,7 +204,7 @@
 		for _, h := range f.nodes {
 			h.balancer.Update(f.now, all)
 			for _, other := range f.nodes {
-				h.tracker.Observe(at, other.ref.Node, levels[other.ref.Node])
+				h.tracker.RecordEndpoint(at, other.ref.Node, levels[other.ref.Node])
 			}
 		}
 	})
--- a/cassiatally/runner/recoverytest/recovery_test.go
+++ b/cassiatally/runner/recoverytest/recovery_test.go
@@ -97,7 +97,7 @@
 	fmt.Fprintf(&b, "%5.1f", f.now.Sub(start).Seconds())
 	for _, h := range f.nodes[:endpoints] {
 		e := h.runner.Endpoint()
-		fmt.Fprintf(&b, " | %s lim %4.1f run %2d q %2d typ %4d done %2d cut %2d lv", h.ref.Node[len(narrow):], float64(h.limiter.Limit()), h.runner.Running(), h.runner.Queued(), h.limiter.Typical().Milliseconds(), h.completed, h.cut)
+		fmt.Fprintf(&b, " | %s lim %4.1f run %2d q %2d typ %4d done %2d cut %2d lv", h.ref.Node[len(narrow):], float64(h.limiter.Limit()), h.runner.Running(), h.runner.Queued(), h.limiter.TypicalSelfTime().Milliseconds(), h.completed, h.cut)
 		for _, l := range e.Levels[:4] {
 			fmt.Fprintf(&b, " %.2f", float64(l))
 		}
--- a/cassiatally/runner/result.go
+++ b/cassiatally/runner/result.go
@@ -52,13 +52,13 @@
 	self := rec.children.selfTime(rec.started, now)
 	failed := res.Kind != cassiatally.ResultAnswered && res.Kind != cassiatally.ResultTimedOut
 	if r.tells(res, self) {
-		r.limiter.Observe(now, cassiatally.RunSample{Self: self, InFlight: rec.concurrency, Failed: failed})
+		r.limiter.Observe(now, cassiatally.RunSample{SelfTime: self, InFlight: rec.concurrency, Failed: failed})
 	}
 	if cutOff(res) || rec.gaveUp(now, res) {
 		// A run that was cut off while it waited for an onward call does not tell that
 		// this backend server is slow. Counted in full, a few of them had all calls
 		// refused as too late, and then no run was left to show that it was fast.
-		r.admitter.Cut(now, rec.call.Rank, self)
+		r.admitter.CutOff(now, rec.call.Rank, self)
 	} else {
 		r.admitter.Done(now, rec.call.Rank, now.Sub(rec.started))
 	}
@@ -92,7 +92,7 @@
 	case cassiatally.ResultAborted:
 		return false
 	case cassiatally.ResultTimedOut:
-		return self >= r.limiter.Typical()
+		return self >= r.limiter.TypicalSelfTime()
 	default:
 		return true
 	}
--- a/cassiatally/runner/runner.go
+++ b/cassiatally/runner/runner.go
@@ -177,11 +177,11 @@
 
 func (r *Runner) load() cassiatally.EndpointLoad {
 	return cassiatally.EndpointLoad{
-		Node:     r.self.Node,
-		Limit:    r.limiter.Limit(),
-		InFlight: cassiatally.Concurrency(r.running),
-		Queued:   r.admitter.Len(),
-		Typical:  r.limiter.Typical(),
+		Node:            r.self.Node,
+		Limit:           r.limiter.Limit(),
+		InFlight:        cassiatally.Concurrency(r.running),
+		Queued:          r.admitter.Len(),
+		TypicalSelfTime: r.limiter.TypicalSelfTime(),
 	}
 }
 
--- a/cassiatally/runner/runner_test.go
+++ b/cassiatally/runner/runner_test.go
@@ -40,7 +40,7 @@
 }
 func (q *listQuarantine) Completed(cassiatally.Instant, cassiatally.Fingerprint) {}
 func (q *listQuarantine) Reports(cassiatally.Instant) []cassiatally.CrashReport  { return nil }
-func (q *listQuarantine) News(cassiatally.Instant, []cassiatally.Fingerprint) []cassiatally.CrashReport {
+func (q *listQuarantine) ReportsOf(cassiatally.Instant, []cassiatally.Fingerprint) []cassiatally.CrashReport {
 	return nil
 }
 
@@ -230,7 +230,7 @@
 	for _, a := range actions {
 		if s, ok := a.(cassiatally.Send); ok {
 			if g, ok := s.Message.(cassiatally.Gossip); ok {
-				to, number = append(to, s.To), g.CrashNews
+				to, number = append(to, s.To), g.CrashNumber
 			}
 		}
 	}
@@ -286,7 +286,7 @@
 func TestCrashNewsIsAcknowledged(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(1)
-	news := cassiatally.Gossip{CrashNews: 7, Crashes: []cassiatally.CrashReport{{Fingerprint: 1, Crashes: 3}}}
+	news := cassiatally.Gossip{CrashNumber: 7, Crashes: []cassiatally.CrashReport{{Fingerprint: 1, Crashes: 3}}}
 	got := h.HandleCrashNews(start, "b", news)
 	is.Equal(h.quarantine.merged, news.Crashes)
 	is.Equal(got, []cassiatally.Action{cassiatally.Send{To: "b", Message: cassiatally.Gossip{
--- a/cassiatally/runner/stall.go
+++ b/cassiatally/runner/stall.go
@@ -30,7 +30,7 @@
 // need more than a third of it again as not. All work on a run that is cut off is
 // lost, and its slot serves a call that has the time.
 func (r *Runner) breakOff(actions []cassiatally.Action, now cassiatally.Instant) []cassiatally.Action {
-	stall := stallFactor * r.limiter.Typical()
+	stall := stallFactor * r.limiter.TypicalSelfTime()
 	if stall == 0 || r.running < stallRuns || now.Sub(r.progressed) < stall {
 		return actions
 	}
--- a/cassiatally/sheetreader/reader.go
+++ b/cassiatally/sheetreader/reader.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "read the sheets in the log")
 	}
-	r.Folder.Start(b.First)
+	r.Folder.Start(b.Oldest)
 	for _, record := range b.Records {
 		each(r.fold(record))
 	}
--- a/cassiatally/windowbudgeter/windowbudgeter.go
+++ b/cassiatally/windowbudgeter/windowbudgeter.go
@@ -78,7 +78,7 @@
 func (b *Budgeter) Succeeded(cassiatally.Instant, cassiatally.ServicePair) {}
 
 // Take reports whether a retry may be sent and counts it if so.
-func (b *Budgeter) Take(now cassiatally.Instant, p cassiatally.ServicePair, r cassiatally.Rank, level cassiatally.Level) bool {
+func (b *Budgeter) TakeRetry(now cassiatally.Instant, p cassiatally.ServicePair, r cassiatally.Rank, level cassiatally.Level) bool {
 	part := othersPart
 	if r == 0 {
 		part = 1
@@ -88,7 +88,7 @@
 
 // TakeLost does the same for a request whose endpoint was lost, also when the
 // service is short.
-func (b *Budgeter) TakeLost(now cassiatally.Instant, p cassiatally.ServicePair) bool {
+func (b *Budgeter) TakeLostRetry(now cassiatally.Instant, p cassiatally.ServicePair) bool {
 	return b.take(now, p, 1)
 }
 
--- a/cassiatally/windowbudgeter/windowbudgeter_test.go
+++ b/cassiatally/windowbudgeter/windowbudgeter_test.go
@@ -42,7 +42,7 @@
 			arrivals = append(arrivals, arrival{now, false})
 		}
 		// Everything fails, so that each node retries as often as it may.
-		for b.TakeLost(now, pair) {
+		for b.TakeLostRetry(now, pair) {
 			arrivals = append(arrivals, arrival{now, true})
 		}
 	}
@@ -80,8 +80,8 @@
 	for range 16 {
 		b.Requested(now, pair, true)
 	}
-	is.True(!b.Take(now, pair, 0, 1))
-	is.True(!b.TakeLost(now, pair))
+	is.True(!b.TakeRetry(now, pair, 0, 1))
+	is.True(!b.TakeLostRetry(now, pair))
 }
 
 // Guards against retries into a service that is short of capacity.
@@ -89,10 +89,10 @@
 	is := is.New(t)
 	b := &windowbudgeter.Budgeter{Ratio: ratio, Slack: 1}
 	now := cassiatally.Instant(time.Hour)
-	is.True(!b.Take(now, pair, 0, 0.5))
-	is.True(b.TakeLost(now, pair)) // its endpoint was lost
-	is.True(!b.TakeLost(now, pair))
-	is.True(b.TakeLost(now.Add(window), pair))
+	is.True(!b.TakeRetry(now, pair, 0, 0.5))
+	is.True(b.TakeLostRetry(now, pair)) // its endpoint was lost
+	is.True(!b.TakeLostRetry(now, pair))
+	is.True(b.TakeLostRetry(now.Add(window), pair))
 }
 
 // Guards against the calls of long chains that use up all retries while the most
@@ -105,10 +105,10 @@
 		b.Requested(now, pair, false)
 	}
 	others, urgent := 0, 0
-	for b.Take(now, pair, 1, 1) {
+	for b.TakeRetry(now, pair, 1, 1) {
 		others++
 	}
-	for b.Take(now, pair, 0, 1) {
+	for b.TakeRetry(now, pair, 0, 1) {
 		urgent++
 	}
 	is.Equal(others, 8)
--- a/node/claimkeeper/claimkeeper.go
+++ b/node/claimkeeper/claimkeeper.go
@@ -204,7 +204,7 @@
 	}
 	answers := make(chan cassiatally.Answer, 1)
 	q := cassiatally.KeyQuery{ID: k.NextID(), Key: key}
-	if !k.Requests.Ask(holder.Node, q, lookupTimeout, func(a cassiatally.Answer) { answers <- a }) {
+	if !k.Requests.QueryKey(holder.Node, q, lookupTimeout, func(a cassiatally.Answer) { answers <- a }) {
 		return cassiatally.Answer{Kind: cassiatally.KindOverloaded, Detail: "the node is overloaded; look the key up later"}
 	}
 	select {
--- a/node/claimkeeper/stream.go
+++ b/node/claimkeeper/stream.go
@@ -30,7 +30,7 @@
 		k.Logger.Debug("shard assignments not read", "error", e.err)
 		return
 	}
-	k.Assigner.StartAt(e.batch.First)
+	k.Assigner.StartAt(e.batch.Oldest)
 	for _, r := range e.batch.Records {
 		k.fold(now, r)
 	}
--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -239,7 +239,7 @@
 	d.carryOut(now, d.Router.LinkSilent(now, e.peer))
 }
 
-func (e heardEvent) apply(d *Dispatcher, _ cassiatally.Instant) { d.Balancer.Heard(e.peer.Node) }
+func (e heardEvent) apply(d *Dispatcher, _ cassiatally.Instant) { d.Balancer.Responding(e.peer.Node) }
 
 func (e failedEvent) apply(d *Dispatcher, now cassiatally.Instant) {
 	d.carryOut(now, d.Router.SendFailed(now, e.to, e.m))
@@ -248,7 +248,7 @@
 func (e endpointsEvent) apply(d *Dispatcher, now cassiatally.Instant) {
 	d.Balancer.Update(now, e.candidates)
 	for _, l := range e.loads {
-		d.Loads.Observe(l.At, l.Node, l.Load)
+		d.Loads.RecordEndpoint(l.At, l.Node, l.Load)
 	}
 }
 
--- a/node/gatekeeper/gatekeeper.go
+++ b/node/gatekeeper/gatekeeper.go
@@ -167,7 +167,7 @@
 }
 
 // Left hands over that an instance of the backend server leaves.
-func (g *Gatekeeper) Left(ctx context.Context, id cassiatally.InstanceID) bool {
+func (g *Gatekeeper) Deregister(ctx context.Context, id cassiatally.InstanceID) bool {
 	return g.instances.Left(ctx, id)
 }
 
--- a/node/gatekeeper/gatekeeper_test.go
+++ b/node/gatekeeper/gatekeeper_test.go
@@ -180,7 +180,7 @@
 }
 
 func ready(s cassiatally.Service, state cassiatally.EndpointState, seq uint64) cassiatally.InstanceReport {
-	return cassiatally.InstanceReport{Instance: "i-1", Born: 1, Sequence: seq, Service: s, Address: "127.0.0.1:1", Slots: 8, State: state}
+	return cassiatally.InstanceReport{Instance: "i-1", StartedMs: 1, Sequence: seq, Service: s, Address: "127.0.0.1:1", Slots: 8, State: state}
 }
 
 func inbound(name cassiatally.RequestName, host string) cassiatally.Inbound {
--- a/node/gatekeeper/routes.go
+++ b/node/gatekeeper/routes.go
@@ -22,7 +22,7 @@
 	case cassiatally.RunQuery:
 		g.executor.Query(from.Node, m)
 	case cassiatally.Gossip:
-		if m.CrashNews != 0 || m.CrashAck != 0 {
+		if m.CrashNumber != 0 || m.CrashAck != 0 {
 			g.executor.CrashNews(from.Node, m)
 			return
 		}
@@ -59,7 +59,7 @@
 
 // gossiped passes on what gossip carries besides members.
 func (g *Gatekeeper) gossiped(m cassiatally.Gossip) {
-	g.routes.PeerVersion(m.From, m.Sheet)
+	g.routes.PeerVersion(m.From, m.SheetVersion)
 	if len(m.Crashes) > 0 {
 		g.executor.Crashes(m.Crashes)
 	}
--- a/node/instancekeeper/instancekeeper.go
+++ b/node/instancekeeper/instancekeeper.go
@@ -157,7 +157,7 @@
 		k.Logger.Debug("instance report not used", "instance", e.report.Instance, "sequence", e.report.Sequence, "state", e.report.State, "in_place", before.Instance)
 		return
 	}
-	if before.Instance != e.report.Instance || before.State != e.report.State || before.Born != e.report.Born {
+	if before.Instance != e.report.Instance || before.State != e.report.State || before.StartedMs != e.report.StartedMs {
 		k.Logger.Info("instance in place", "instance", e.report.Instance, "service", e.report.Service, "state", e.report.State, "sequence", e.report.Sequence, "before", before.Instance)
 	}
 	k.announce()
--- a/node/supervisor/routes.go
+++ b/node/supervisor/routes.go
@@ -33,7 +33,7 @@
 }
 
 func (s *Supervisor) inboundGossip(from cassiatally.NodeRef, g cassiatally.Gossip) {
-	if g.CrashNews != 0 || g.CrashAck != 0 {
+	if g.CrashNumber != 0 || g.CrashAck != 0 {
 		s.executor.CrashNews(from.Node, g)
 		return
 	}
@@ -79,7 +79,7 @@
 
 // gossiped passes on what gossip carries besides members.
 func (s *Supervisor) gossiped(g cassiatally.Gossip) {
-	s.sheets.PeerVersion(g.From, g.Sheet)
+	s.sheets.PeerVersion(g.From, g.SheetVersion)
 	if len(g.Crashes) > 0 {
 		s.executor.Crashes(g.Crashes)
 	}
--- a/node/supervisor/status.go
+++ b/node/supervisor/status.go
@@ -114,7 +114,7 @@
 			Limit:      int(m.Endpoint.Load.Limit),
 			InFlight:   int(m.Endpoint.Load.InFlight),
 			Queued:     m.Endpoint.Load.Queued,
-			Sheet:      uint64(m.Sheet),
+			Sheet:      uint64(m.SheetVersion),
 			Suspect:    suspects[m.Ref],
 			Leaving:    m.Leaving,
 		})
@@ -176,7 +176,7 @@
 		out.Limit = int(e.Load.Limit)
 		out.InFlight = int(e.Load.InFlight)
 		out.Queued = e.Load.Queued
-		out.TypicalSeconds = e.Load.Typical.Seconds()
+		out.TypicalSeconds = e.Load.TypicalSelfTime.Seconds()
 	}
 	return out
 }
--- a/node/supervisor/supervisor.go
+++ b/node/supervisor/supervisor.go
@@ -324,6 +324,6 @@
 }
 
 // Ask hands over a key query.
-func (r requests) Ask(to cassiatally.NodeID, q cassiatally.KeyQuery, timeout time.Duration, reply func(cassiatally.Answer)) bool {
+func (r requests) QueryKey(to cassiatally.NodeID, q cassiatally.KeyQuery, timeout time.Duration, reply func(cassiatally.Answer)) bool {
 	return r.Dispatcher.Ask(to, q, timeout, reply)
 }
--- a/standin/logserver/logserver.go
+++ b/standin/logserver/logserver.go
@@ -317,7 +317,7 @@
 }
 
 func encodeBatch(b cassiatally.Batch) readAnswer {
-	answer := readAnswer{First: b.First, Next: b.Next, Records: make([]readRecord, 0, len(b.Records))}
+	answer := readAnswer{First: b.Oldest, Next: b.Next, Records: make([]readRecord, 0, len(b.Records))}
 	for _, r := range b.Records {
 		answer.Records = append(answer.Records, readRecord{
 			Offset:  r.Offset,
--- a/standin/logstore/logstore.go
+++ b/standin/logstore/logstore.go
@@ -94,7 +94,7 @@
 	s.expire(now)
 	st := s.stream(name)
 	at := min(max(from, st.first), st.end())
-	batch := cassiatally.Batch{First: st.first, Next: at}
+	batch := cassiatally.Batch{Oldest: st.first, Next: at}
 	size := 0
 	for at < st.end() && len(batch.Records) < limit && size < maxBatchBytes {
 		r := st.records[at-st.first]
--- a/standin/logstore/logstore_test.go
+++ b/standin/logstore/logstore_test.go
@@ -27,7 +27,7 @@
 		is.Equal(offset, cassiatally.Offset(i))
 	}
 	batch, _ := s.Read(at(61*time.Second), "sheet", 0, 10)
-	is.Equal(batch.First, cassiatally.Offset(2)) // the records of seconds 0 and 1 are gone
+	is.Equal(batch.Oldest, cassiatally.Offset(2)) // the records of seconds 0 and 1 are gone
 	is.Equal(len(batch.Records), 1)
 	is.Equal(batch.Records[0].Offset, cassiatally.Offset(2))
 	is.Equal(batch.Records[0].Expires, time.Second)
