--- a/cassiatally/registrar/registrar.go
+++ b/cassiatally/registrar/registrar.go
@@ -82,9 +82,9 @@
 	// it starts. After a restart of all nodes, rounds alone took more than a second until
 	// an entry node had an endpoint of each service in its table.
 	introductionPeers = 32
-	// introductionPeriod is how long after its start a node announces each of its own
+	// startPeriod is how long after its start a node announces each of its own
 	// changes to as many members.
-	introductionPeriod = 5 * time.Second
+	startPeriod = 5 * time.Second
 
 	maxGateways  = 4
 	maxEndpoints = 4
@@ -231,7 +231,7 @@
 		return nil
 	}
 	out := r.sendOwnChange()
-	if r.recentlyStarted(now) {
+	if r.isStarting(now) {
 		out = append(out, r.announceSelf()...)
 	}
 	return out
@@ -258,10 +258,8 @@
 	}
 }
 
-// recentlyStarted reports whether the introduction period still runs.
-func (r *Registrar) recentlyStarted(now cassiatally.Instant) bool {
-	return now.Sub(r.started) < introductionPeriod
-}
+// isStarting reports whether the start period still runs.
+func (r *Registrar) isStarting(now cassiatally.Instant) bool { return now.Sub(r.started) < startPeriod }
 
 // announceSelf sends this node's full entry to members, those of its own data centre
 // first.
--- a/cassiatally/router/router_test.go
+++ b/cassiatally/router/router_test.go
@@ -61,7 +61,9 @@
 
 func (l stubLoads) RecordChain(cassiatally.Instant, cassiatally.Service, cassiatally.WorkKind, []cassiatally.ServiceLoad) {
 }
+
 func (l stubLoads) RecordEndpoint(cassiatally.Instant, cassiatally.NodeID, cassiatally.ServiceLoad) {}
+
 func (l stubLoads) Admit(cassiatally.Instant, cassiatally.Service, cassiatally.WorkKind, cassiatally.Rank, cassiatally.Order) (bool, cassiatally.Service) {
 	return !l.short, "avail-svc"
 }
