--- a/cassiatally/admitter/admitter.go
+++ b/cassiatally/admitter/admitter.go
@@ -389,7 +389,7 @@
 
 // Cut records the end of a run that was cut off before the backend server finished
 // it.
-func (a *Admitter) Cut(now cassiatally.Instant, r cassiatally.Rank, busy time.Duration) {
+func (a *Admitter) CutOff(now cassiatally.Instant, r cassiatally.Rank, busy time.Duration) {
 	r = min(r, cassiatally.MaxRanks-1)
 	a.times.recordCut(r, busy)
 	a.runEnded(now)
--- a/cassiatally/admitter/fleet_test.go
+++ b/cassiatally/admitter/fleet_test.go
@@ -293,10 +293,10 @@
 	x := f.classes[c.class]
 	f.after(linkTime, func() {
 		c.from.balance.Finished(f.now, c.host.id, cassiatally.CallResult{Took: f.now.Sub(c.sent), Load: r.own})
-		c.from.loads.Learn(f.now, narrow, "deep", []cassiatally.ServiceLoad{r.load})
+		c.from.loads.RecordChain(f.now, narrow, "deep", []cassiatally.ServiceLoad{r.load})
 		if x.onward {
 			f.after(linkTime, func() {
-				c.entry.loads.Learn(f.now, wide, x.name, []cassiatally.ServiceLoad{r.load})
+				c.entry.loads.RecordChain(f.now, wide, x.name, []cassiatally.ServiceLoad{r.load})
 				f.recordResult(c, res)
 			})
 			return
@@ -315,7 +315,7 @@
 		load: cassiatally.ServiceLoad{Service: narrow, Weight: float64(f.slots), Levels: h.queue.Levels()},
 		own: cassiatally.EndpointLoad{
 			Node: h.id, Limit: cassiatally.Concurrency(f.slots), InFlight: cassiatally.Concurrency(h.running), Queued: h.queue.Len(),
-			Typical: f.service,
+			TypicalSelfTime: f.service,
 		},
 	}
 }
@@ -333,7 +333,7 @@
 	for _, h := range f.hosts {
 		age := f.rng.IntN(int(gossipAge / queueTick))
 		if at := len(h.reports) - 1 - age; at >= 0 {
-			n.loads.Observe(h.reports[at].at, h.id, h.reports[at].load)
+			n.loads.RecordEndpoint(h.reports[at].at, h.id, h.reports[at].load)
 		}
 	}
 }
--- a/cassiatally/balancer/balancer.go
+++ b/cassiatally/balancer/balancer.go
@@ -261,7 +261,7 @@
 func (b *Balancer) predictedWait(now cassiatally.Instant, e *endpoint) float64 {
 	age := now.Sub(e.reportedAt)
 	others := e.othersInFlight * math.Exp2(-float64(age)/float64(reportHalfLife))
-	typical := e.load.Typical
+	typical := e.load.TypicalSelfTime
 	if typical <= 0 {
 		typical = e.meanDuration
 	}
@@ -283,7 +283,7 @@
 func (b *Balancer) minTypical(s cassiatally.Service) time.Duration {
 	least := unknownTypical
 	for _, e := range b.services[s] {
-		if t := e.load.Typical; t > 0 {
+		if t := e.load.TypicalSelfTime; t > 0 {
 			least = min(least, t)
 		}
 	}
@@ -325,7 +325,7 @@
 		e.applyReport(now, r.Load)
 	}
 	e.calls++
-	if r.Unreached {
+	if r.Unreachable {
 		e.pauseUnreached(now)
 	} else {
 		e.unreachedPause = 0
@@ -357,7 +357,7 @@
 }
 
 // Heard records that the node of the endpoint is reachable again.
-func (b *Balancer) Heard(n cassiatally.NodeID) {
+func (b *Balancer) Responding(n cassiatally.NodeID) {
 	if e := b.nodes[n]; e != nil {
 		e.unreachedUntil, e.unreachedPause = 0, 0
 	}
@@ -408,7 +408,7 @@
 }
 
 // Known reports whether any endpoint of the service is listed, in any state.
-func (b *Balancer) Known(s cassiatally.Service) bool { return len(b.services[s]) > 0 }
+func (b *Balancer) HasEndpoint(s cassiatally.Service) bool { return len(b.services[s]) > 0 }
 
 func positiveOr(v, fallback float64) float64 {
 	if v > 0 {
--- a/cassiatally/budgeter/budgeter.go
+++ b/cassiatally/budgeter/budgeter.go
@@ -88,7 +88,7 @@
 
 // Take spends a token of the pair. A level below shortageLevel means that the target
 // is already short of capacity: the bucket is emptied and nothing may be retried.
-func (b *Budgeter) Take(now cassiatally.Instant, p cassiatally.ServicePair, _ cassiatally.Rank, level cassiatally.Level) bool {
+func (b *Budgeter) TakeRetry(now cassiatally.Instant, p cassiatally.ServicePair, _ cassiatally.Rank, level cassiatally.Level) bool {
 	if faultswitch.Off(faultswitch.RetryBudget) {
 		return true
 	}
@@ -109,7 +109,7 @@
 // when the target is short of capacity. The bucket holds as many tokens as there were
 // successes in the last second, or lostBurst if that is more, and earns as much as the
 // other one.
-func (b *Budgeter) TakeLost(now cassiatally.Instant, p cassiatally.ServicePair) bool {
+func (b *Budgeter) TakeLostRetry(now cassiatally.Instant, p cassiatally.ServicePair) bool {
 	if faultswitch.Off(faultswitch.LostRetries) {
 		return false
 	}
--- a/cassiatally/instancetracker/tracker.go
+++ b/cassiatally/instancetracker/tracker.go
@@ -44,7 +44,7 @@
 }
 
 func (e retirement) covers(now cassiatally.Instant, r cassiatally.InstanceReport) bool {
-	return now.Before(e.ignoreUntil) || r.Born <= e.lastStart
+	return now.Before(e.ignoreUntil) || r.StartedMs <= e.lastStart
 }
 
 // Current returns the latest report of the current instance. It returns false when
@@ -65,11 +65,11 @@
 	if e, ended := t.retired[r.Instance]; ended && e.covers(now, r) {
 		return false
 	}
-	if t.hasCurrent && r.Born != 0 && r.Born < t.current.Born {
+	if t.hasCurrent && r.StartedMs != 0 && r.StartedMs < t.current.StartedMs {
 		return false
 	}
 	if t.hasCurrent {
-		t.retire(t.current.Instance, retirement{lastStart: t.current.Born})
+		t.retire(t.current.Instance, retirement{lastStart: t.current.StartedMs})
 	}
 	t.current, t.hasCurrent, t.currentLeft = r, true, false
 	return true
@@ -82,7 +82,7 @@
 // sameStart reports whether two reports are of the same start of an instance. A
 // report without a start time is assumed to be of the same start.
 func sameStart(a, b cassiatally.InstanceReport) bool {
-	return a.Instance == b.Instance && (a.Born == b.Born || a.Born == 0 || b.Born == 0)
+	return a.Instance == b.Instance && (a.StartedMs == b.StartedMs || a.StartedMs == 0 || b.StartedMs == 0)
 }
 
 func (t *Tracker) updateCurrent(r cassiatally.InstanceReport) bool {
@@ -93,8 +93,8 @@
 		// A draining instance does not become ready again.
 		r.State = cassiatally.EndpointDraining
 	}
-	if r.Born == 0 {
-		r.Born = t.current.Born
+	if r.StartedMs == 0 {
+		r.StartedMs = t.current.StartedMs
 	}
 	t.current = r
 	return true
--- a/cassiatally/limiter/limiter.go
+++ b/cassiatally/limiter/limiter.go
@@ -208,7 +208,7 @@
 }
 
 // Typical returns the smoothed self time.
-func (l *Limiter) Typical() time.Duration { return time.Duration(l.typical) }
+func (l *Limiter) TypicalSelfTime() time.Duration { return time.Duration(l.typical) }
 
 // Resize sets the slots that the backend server announces; 0 means unknown.
 // Announcements repeat, so unchanged slots must not restart a window.
@@ -245,7 +245,7 @@
 	if l.failureRate < cutFailureRate/2 {
 		l.failing = false
 	}
-	self := float64(s.Self)
+	self := float64(s.SelfTime)
 	if l.typical == 0 {
 		l.typical, l.concurrency = self, float64(s.InFlight)
 	}
@@ -268,7 +268,7 @@
 // end after a change started before it, and are mostly short ones. Runs that started
 // above the limit started before a cut.
 func (l *Limiter) inWindow(now cassiatally.Instant, s cassiatally.RunSample) bool {
-	return now.Reached(l.window.since) && s.InFlight <= l.Limit() && !now.Add(-s.Self).Before(l.ignoreBefore)
+	return now.Reached(l.window.since) && s.InFlight <= l.Limit() && !now.Add(-s.SelfTime).Before(l.ignoreBefore)
 }
 
 // saveNormal saves the state at which the backend server had its normal speed, unless
@@ -292,8 +292,8 @@
 		l.normal = normal{}
 		return false
 	}
-	self := float64(s.Self)
-	began := now.Add(-s.Self)
+	self := float64(s.SelfTime)
+	began := now.Add(-s.SelfTime)
 	if self > aboveFloor*l.normal.floor {
 		// Slow runs that began before the first fast one don't count against it.
 		if l.fast.n > 0 && !began.Before(l.fast.since) {
@@ -357,7 +357,7 @@
 // most runs of the previous limit have ended.
 func (l *Limiter) restartWindow(now cassiatally.Instant) {
 	l.updateSpread()
-	l.window = window{since: now.Add(l.Typical()), nextCheck: minSamples}
+	l.window = window{since: now.Add(l.TypicalSelfTime()), nextCheck: minSamples}
 }
 
 // evaluateWindow changes the limit if the window has enough runs for a decision.
@@ -473,7 +473,7 @@
 func (l *Limiter) probeDue(now cassiatally.Instant, near bool) bool {
 	age := now.Sub(l.floorMeasured)
 	if l.speedingUp {
-		return age >= speedUpTimes*l.Typical()
+		return age >= speedUpTimes*l.TypicalSelfTime()
 	}
 	return age >= l.refresh() || (!near && !l.verified && age >= firstProbeDelay)
 }
@@ -571,7 +571,7 @@
 	if l.failureRate < cutFailureRate {
 		return
 	}
-	if l.failureCutAt != 0 && now.Sub(l.failureCutAt) < l.Typical() {
+	if l.failureCutAt != 0 && now.Sub(l.failureCutAt) < l.TypicalSelfTime() {
 		return
 	}
 	l.failureCutAt = now
--- a/cassiatally/quarantiner/quarantiner.go
+++ b/cassiatally/quarantiner/quarantiner.go
@@ -176,7 +176,7 @@
 // News returns all recorded crash reports on some requests. A node that merges them
 // in this order arrives at the same count: the crashes that a completed run cleared
 // come before the report of that run, and later crashes after it.
-func (q *Quarantiner) News(now cassiatally.Instant, of []cassiatally.Fingerprint) []cassiatally.CrashReport {
+func (q *Quarantiner) ReportsOf(now cassiatally.Instant, of []cassiatally.Fingerprint) []cassiatally.CrashReport {
 	var out []cassiatally.CrashReport
 	added := map[cassiatally.Fingerprint]bool{}
 	for _, f := range of {
--- a/cassiatally/runner/crash.go
+++ b/cassiatally/runner/crash.go
@@ -47,7 +47,7 @@
 // them.
 func (r *Runner) HandleCrashReports(now cassiatally.Instant, from cassiatally.NodeID, g cassiatally.Gossip) []cassiatally.Action {
 	r.quarantine.Merge(now, g.Crashes)
-	return []cassiatally.Action{cassiatally.Send{To: from, Message: cassiatally.Gossip{From: r.self, Reply: true, CrashAck: g.CrashNews}}}
+	return []cassiatally.Action{cassiatally.Send{To: from, Message: cassiatally.Gossip{From: r.self, Reply: true, CrashAck: g.CrashNumber}}}
 }
 
 // HandleCrashAck records the acknowledgement of a crash by a peer and answers the
@@ -97,7 +97,7 @@
 		return actions
 	}
 	c := &crash{
-		number: r.crashes, reports: r.quarantine.News(now, inFlight), unacknowledgedBy: peers,
+		number: r.crashes, reports: r.quarantine.ReportsOf(now, inFlight), unacknowledgedBy: peers,
 		withholdUntil: now.Add(maxWithhold), resendAt: now.Add(crashResendInterval),
 	}
 	r.unacknowledgedCrashes = append(r.unacknowledgedCrashes, c)
@@ -113,7 +113,7 @@
 func (c *crash) sendReports(actions []cassiatally.Action, self cassiatally.NodeRef) []cassiatally.Action {
 	for _, n := range c.unacknowledgedBy {
 		actions = append(actions, cassiatally.Send{To: n, Message: cassiatally.Gossip{
-			From: self, Reply: true, Crashes: c.reports, CrashNews: c.number,
+			From: self, Reply: true, Crashes: c.reports, CrashNumber: c.number,
 		}})
 	}
 	return actions
--- a/cassiatally/runner/crashfleet_test.go
+++ b/cassiatally/runner/crashfleet_test.go
@@ -241,10 +241,10 @@
 // plan drops.
 func (m *fleetModel) isLost(from *fleetNode, s cassiatally.Send) bool {
 	g, ok := s.Message.(cassiatally.Gossip)
-	if !ok || g.CrashNews == 0 && g.CrashAck == 0 {
+	if !ok || g.CrashNumber == 0 && g.CrashAck == 0 {
 		return false
 	}
-	id := crashMessageID{from.ref.Node, s.To, g.CrashNews, g.CrashAck}
+	id := crashMessageID{from.ref.Node, s.To, g.CrashNumber, g.CrashAck}
 	m.sent[id]++
 	return m.sent[id] <= m.plan.lost
 }
@@ -268,7 +268,7 @@
 
 func (n *fleetNode) handleGossip(from cassiatally.NodeRef, g cassiatally.Gossip) {
 	switch {
-	case g.CrashNews != 0:
+	case g.CrashNumber != 0:
 		n.carryOut(n.HandleCrashReports(n.m.now, from.Node, g))
 		return
 	case g.CrashAck != 0:
--- a/cassiatally/runner/result.go
+++ b/cassiatally/runner/result.go
@@ -53,13 +53,13 @@
 	self := rec.children.selfTime(rec.started, now)
 	failed := res.Kind != cassiatally.ResultAnswered && res.Kind != cassiatally.ResultTimedOut
 	if r.isLoadSample(res, self) {
-		r.limiter.Observe(now, cassiatally.RunSample{Self: self, InFlight: rec.concurrency, Failed: failed})
+		r.limiter.Observe(now, cassiatally.RunSample{SelfTime: self, InFlight: rec.concurrency, Failed: failed})
 	}
 	if cutOff(res) || rec.gaveUpAtDeadline(now, res) {
 		// A run that was cut off while it waited for an onward call is no evidence that
 		// this backend server is slow. When such runs counted in full, a few of them had
 		// all calls refused as too late, and no run was left to show that it was fast.
-		r.admitter.Cut(now, rec.call.Rank, self)
+		r.admitter.CutOff(now, rec.call.Rank, self)
 	} else {
 		r.admitter.Done(now, rec.call.Rank, now.Sub(rec.started))
 	}
@@ -95,7 +95,7 @@
 	case cassiatally.ResultAborted:
 		return false
 	case cassiatally.ResultTimedOut:
-		return self >= r.limiter.Typical()
+		return self >= r.limiter.TypicalSelfTime()
 	default:
 		return true
 	}
--- a/cassiatally/runner/runner_test.go
+++ b/cassiatally/runner/runner_test.go
@@ -40,7 +40,7 @@
 }
 func (q *listQuarantine) Completed(cassiatally.Instant, cassiatally.Fingerprint) {}
 func (q *listQuarantine) Reports(cassiatally.Instant) []cassiatally.CrashReport  { return nil }
-func (q *listQuarantine) News(cassiatally.Instant, []cassiatally.Fingerprint) []cassiatally.CrashReport {
+func (q *listQuarantine) ReportsOf(cassiatally.Instant, []cassiatally.Fingerprint) []cassiatally.CrashReport {
 	return nil
 }
 
@@ -231,7 +231,7 @@
 	for _, a := range actions {
 		if s, ok := a.(cassiatally.Send); ok {
 			if g, ok := s.Message.(cassiatally.Gossip); ok {
-				to, number = append(to, s.To), g.CrashNews
+				to, number = append(to, s.To), g.CrashNumber
 			}
 		}
 	}
@@ -287,7 +287,7 @@
 func TestCrashReportIsAcknowledged(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(1)
-	report := cassiatally.Gossip{CrashNews: 7, Crashes: []cassiatally.CrashReport{{Fingerprint: 1, Crashes: 3}}}
+	report := cassiatally.Gossip{CrashNumber: 7, Crashes: []cassiatally.CrashReport{{Fingerprint: 1, Crashes: 3}}}
 	got := h.HandleCrashReports(start, "b", report)
 	is.Equal(h.quarantine.merged, report.Crashes)
 	is.Equal(got, []cassiatally.Action{cassiatally.Send{To: "b", Message: cassiatally.Gossip{
--- a/cassiatally/runner/stall.go
+++ b/cassiatally/runner/stall.go
@@ -32,7 +32,7 @@
 // at its deadline wastes all its work, while its slot could serve a call that has
 // enough time.
 func (r *Runner) abortStalledRuns(actions []cassiatally.Action, now cassiatally.Instant) []cassiatally.Action {
-	stall := stallFactor * r.limiter.Typical()
+	stall := stallFactor * r.limiter.TypicalSelfTime()
 	if stall == 0 || r.running < minStalledRuns || now.Sub(r.lastProgress) < stall {
 		return actions
 	}
