--- a/cassiatally/admitter/admitter.go
+++ b/cassiatally/admitter/admitter.go
@@ -387,7 +387,7 @@
 	a.runEnded(now)
 }
 
-// Cut records the end of a run that was cut off before the backend server finished
+// CutOff records the end of a run that was cut off before the backend server finished
 // it.
 func (a *Admitter) CutOff(now cassiatally.Instant, r cassiatally.Rank, busy time.Duration) {
 	r = min(r, cassiatally.MaxRanks-1)
--- a/cassiatally/balancer/balancer.go
+++ b/cassiatally/balancer/balancer.go
@@ -356,7 +356,7 @@
 	}
 }
 
-// Heard records that the node of the endpoint is reachable again.
+// Responding records that the node of the endpoint is reachable again.
 func (b *Balancer) Responding(n cassiatally.NodeID) {
 	if e := b.nodes[n]; e != nil {
 		e.unreachedUntil, e.unreachedPause = 0, 0
@@ -371,7 +371,7 @@
 	e.meanDuration += time.Duration(callWeight * float64(took-e.meanDuration))
 }
 
-// outlier reports whether the endpoint fails far more often than the others of
+// isOutlier reports whether the endpoint fails far more often than the others of
 // its service, and whether another endpoint may still be excluded.
 func (b *Balancer) isOutlier(now cassiatally.Instant, e *endpoint) bool {
 	if e.calls < minOutlierCalls || e.failureRate < minOutlierRate || now.Before(e.excludedUntil) {
@@ -407,7 +407,7 @@
 	e.failureRate, e.calls = 0, 0
 }
 
-// Known reports whether any endpoint of the service is listed, in any state.
+// HasEndpoint reports whether any endpoint of the service is listed, in any state.
 func (b *Balancer) HasEndpoint(s cassiatally.Service) bool { return len(b.services[s]) > 0 }
 
 func positiveOr(v, fallback float64) float64 {
--- a/cassiatally/budgeter/budgeter.go
+++ b/cassiatally/budgeter/budgeter.go
@@ -10,10 +10,10 @@
 //
 //	b := &budgeter.Budgeter{}
 //	b.Succeeded(now, pair)
-//	if b.Take(now, pair, rank, level) {
+//	if b.TakeRetry(now, pair, rank, level) {
 //		// send the retry
 //	}
-//	if b.TakeLost(now, pair) {
+//	if b.TakeLostRetry(now, pair) {
 //		// send a request again whose endpoint was lost
 //	}
 //
@@ -86,7 +86,7 @@
 
 var _ cassiatally.RetryBudget = (*Budgeter)(nil)
 
-// Take spends a token of the pair. A level below shortageLevel means that the target
+// TakeRetry spends a token of the pair. A level below shortageLevel means that the target
 // is already short of capacity: the bucket is emptied and nothing may be retried.
 func (b *Budgeter) TakeRetry(now cassiatally.Instant, p cassiatally.ServicePair, _ cassiatally.Rank, level cassiatally.Level) bool {
 	if faultswitch.Off(faultswitch.RetryBudget) {
@@ -104,7 +104,7 @@
 	return k.refused.takeToken(b.income(k, now))
 }
 
-// TakeLost spends a token for a run that was interrupted by the loss of an endpoint.
+// TakeLostRetry spends a token for a run that was interrupted by the loss of an endpoint.
 // There are at most as many such runs as the endpoint had slots, so they may be retried
 // when the target is short of capacity. The bucket holds as many tokens as there were
 // successes in the last second, or lostBurst if that is more, and earns as much as the
--- a/cassiatally/fifo/fifo.go
+++ b/cassiatally/fifo/fifo.go
@@ -65,7 +65,7 @@
 // Done does nothing, since the baseline keeps no measurements.
 func (q *Queue) Done(cassiatally.Instant, cassiatally.Rank, time.Duration) {}
 
-// Cut does nothing, since the baseline keeps no measurements.
+// CutOff does nothing, since the baseline keeps no measurements.
 func (q *Queue) CutOff(cassiatally.Instant, cassiatally.Rank, time.Duration) {}
 
 // Tick does nothing, since the levels of the baseline never change.
--- a/cassiatally/fixedlimiter/fixedlimiter.go
+++ b/cassiatally/fixedlimiter/fixedlimiter.go
@@ -61,5 +61,5 @@
 	l.typical += time.Duration(ewmaWeight * float64(s.SelfTime-l.typical))
 }
 
-// Typical returns the smoothed self time.
+// TypicalSelfTime returns the smoothed self time.
 func (l *Limiter) TypicalSelfTime() time.Duration { return l.typical }
--- a/cassiatally/limiter/limiter.go
+++ b/cassiatally/limiter/limiter.go
@@ -207,7 +207,7 @@
 	return cassiatally.Concurrency(max(l.limit, minLimit))
 }
 
-// Typical returns the smoothed self time.
+// TypicalSelfTime returns the smoothed self time.
 func (l *Limiter) TypicalSelfTime() time.Duration { return time.Duration(l.typical) }
 
 // Resize sets the slots that the backend server announces; 0 means unknown.
--- a/cassiatally/loadtracker/loadtracker.go
+++ b/cassiatally/loadtracker/loadtracker.go
@@ -8,8 +8,8 @@
 // # Usage
 //
 //	t := &loadtracker.Tracker{}
-//	t.Observe(now, member.Ref.Node, load)            // from gossip
-//	t.Learn(now, answer.Service, answer.Work, loads) // from answers
+//	t.RecordEndpoint(now, member.Ref.Node, load)           // from gossip
+//	t.RecordChain(now, answer.Service, answer.Work, loads) // from answers
 //	ok, short := t.Admit(now, service, work, rank, order)
 package loadtracker
 
@@ -96,7 +96,7 @@
 
 var _ cassiatally.LoadTracker = (*Tracker)(nil)
 
-// Learn records the levels of the services that a (service, kind) touched.
+// RecordChain records the levels of the services that a (service, kind) touched.
 func (t *Tracker) RecordChain(now cassiatally.Instant, s cassiatally.Service, w cassiatally.WorkKind, loads []cassiatally.ServiceLoad) {
 	c := t.chain(now, work{s, w})
 	for _, load := range loads {
@@ -109,7 +109,7 @@
 	}
 }
 
-// Observe records the levels that one endpoint had at an instant. Gossip repeats old
+// RecordEndpoint records the levels that one endpoint had at an instant. Gossip repeats old
 // reports; a report that is not newer than the last one changes nothing.
 func (t *Tracker) RecordEndpoint(at cassiatally.Instant, n cassiatally.NodeID, load cassiatally.ServiceLoad) {
 	v := t.service(at, load.Service)
--- a/cassiatally/router/answer.go
+++ b/cassiatally/router/answer.go
@@ -166,7 +166,7 @@
 	return isEndpointLoss(a.Kind) || a.OwnFailure
 }
 
-// lostEndpoint reports whether a call failed because its endpoint, the node beside
+// isEndpointLoss reports whether a call failed because its endpoint, the node beside
 // it or the connection was lost.
 func isEndpointLoss(k cassiatally.ErrorKind) bool {
 	switch k {
--- a/cassiatally/sheetparser/yaml.go
+++ b/cassiatally/sheetparser/yaml.go
@@ -177,7 +177,7 @@
 	return scalarText(node)
 }
 
-// scalar returns the text of a plain or quoted value. Anchors, aliases, tags and
+// scalarText returns the text of a plain or quoted value. Anchors, aliases, tags and
 // collections are refused, so that a small file cannot expand to a large one.
 func scalarText(node ast.Node) (string, bool) {
 	switch n := node.(type) {
--- a/cassiatally/windowbudgeter/windowbudgeter.go
+++ b/cassiatally/windowbudgeter/windowbudgeter.go
@@ -9,7 +9,7 @@
 //
 //	b := &windowbudgeter.Budgeter{Ratio: 0.16, Slack: 1}
 //	b.Requested(now, pair, false) // with the first send of each request
-//	if b.Take(now, pair, rank, level) {
+//	if b.TakeRetry(now, pair, rank, level) {
 //		// send it once more
 //	}
 //
@@ -77,7 +77,7 @@
 // Succeeded changes nothing, since requests count whether they succeed or not.
 func (b *Budgeter) Succeeded(cassiatally.Instant, cassiatally.ServicePair) {}
 
-// Take reports whether a retry may be sent and counts it if so.
+// TakeRetry reports whether a retry may be sent and counts it if so.
 func (b *Budgeter) TakeRetry(now cassiatally.Instant, p cassiatally.ServicePair, r cassiatally.Rank, level cassiatally.Level) bool {
 	fraction := lessUrgentFraction
 	if r == 0 {
@@ -86,7 +86,7 @@
 	return level >= shortageLevel && b.takeRetry(now, p, fraction)
 }
 
-// TakeLost does the same for a request whose endpoint was lost, also when the service
+// TakeLostRetry does the same for a request whose endpoint was lost, also when the service
 // is short of capacity, and may use all retries at any rank.
 func (b *Budgeter) TakeLostRetry(now cassiatally.Instant, p cassiatally.ServicePair) bool {
 	return b.takeRetry(now, p, 1)
--- a/node/gatekeeper/gatekeeper.go
+++ b/node/gatekeeper/gatekeeper.go
@@ -166,7 +166,7 @@
 	return g.instances.Report(ctx, r)
 }
 
-// Left hands over that an instance of the backend server leaves.
+// Deregister hands over that an instance of the backend server leaves.
 func (g *Gatekeeper) Deregister(ctx context.Context, id cassiatally.InstanceID) bool {
 	return g.instances.Left(ctx, id)
 }
--- a/node/supervisor/supervisor.go
+++ b/node/supervisor/supervisor.go
@@ -323,7 +323,7 @@
 	return r.Dispatcher.Submit(req, reply)
 }
 
-// Ask hands over a key query.
+// QueryKey hands over a key query.
 func (r requests) QueryKey(to cassiatally.NodeID, q cassiatally.KeyQuery, timeout time.Duration, reply func(cassiatally.Answer)) bool {
 	return r.Dispatcher.Ask(to, q, timeout, reply)
 }
