--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -152,8 +152,8 @@
 	d.inbox.Offer(withdrawEvent{id: id}, 0)
 }
 
-// Ask sends a query for a key's outcome to a node.
-func (d *Dispatcher) Ask(to cassiatally.NodeID, q cassiatally.KeyQuery, timeout time.Duration, reply Reply) bool {
+// QueryKey sends a query for a key's outcome to a node.
+func (d *Dispatcher) QueryKey(to cassiatally.NodeID, q cassiatally.KeyQuery, timeout time.Duration, reply Reply) bool {
 	return d.inbox.Offer(askEvent{to: to, query: q, timeout: timeout, reply: reply}, answerReserve)
 }
 
--- a/node/supervisor/supervisor.go
+++ b/node/supervisor/supervisor.go
@@ -325,5 +325,5 @@
 
 // QueryKey hands over a key query.
 func (r requests) QueryKey(to cassiatally.NodeID, q cassiatally.KeyQuery, timeout time.Duration, reply func(cassiatally.Answer)) bool {
-	return r.Dispatcher.Ask(to, q, timeout, reply)
+	return r.Dispatcher.QueryKey(to, q, timeout, reply)
 }
