--- a/cassiatally/budgeter/budgeter_test.go
+++ b/cassiatally/budgeter/budgeter_test.go
@@ -12,20 +12,21 @@
 
 var pair = cassiatally.ServicePair{From: "booking-svc", To: "avail-svc"}
 
-// load sends successes per second for d and takes as many retries as it can.
+// load records rate successes per second for d, takes as many retries as it can, and
+// returns their number.
 func load(b *budgeter.Budgeter, from cassiatally.Instant, d time.Duration, rate int, level cassiatally.Level) (taken int) {
 	gap := time.Second / time.Duration(rate)
 	for now := from; now.Before(from.Add(d)); now = now.Add(gap) {
 		b.Succeeded(now, pair)
-		for b.Take(now, pair, 0, level) {
+		for b.TakeRetry(now, pair, 0, level) {
 			taken++
 		}
 	}
 	return taken
 }
 
-// Guards against retries that multiply the load, and against a budget that gives
-// none where there is room.
+// Guards against retries that multiply the load, and against a budget that allows none
+// while the target has capacity.
 func TestRate(t *testing.T) {
 	const d = 100 * time.Second
 	cases := []struct {
@@ -49,8 +50,8 @@
 	}
 }
 
-// Guards against tokens that are saved up without bound, and against tokens that
-// survive a shortage of the target: both end in a burst of retries.
+// Guards against tokens that are saved without bound, and against tokens that are kept
+// through a shortage of the target: both end in a burst of retries.
 func TestSavings(t *testing.T) {
 	is := is.New(t)
 	b := &budgeter.Budgeter{}
@@ -59,31 +60,31 @@
 	}
 	later := cassiatally.Instant(time.Hour)
 	taken := 0
-	for b.Take(later, pair, 0, 1) {
+	for b.TakeRetry(later, pair, 0, 1) {
 		taken++
 	}
 	is.Equal(taken, 10)
 	later = later.Add(time.Minute)
-	is.True(b.Take(later, pair, 0, 1))
-	is.True(!b.Take(later, pair, 0, 0.5))
-	is.True(!b.Take(later, pair, 0, 1))
-	is.True(b.Take(later.Add(time.Second), pair, 0, 1))
+	is.True(b.TakeRetry(later, pair, 0, 1))
+	is.True(!b.TakeRetry(later, pair, 0, 0.5))
+	is.True(!b.TakeRetry(later, pair, 0, 1))
+	is.True(b.TakeRetry(later.Add(time.Second), pair, 0, 1))
 }
 
-// Guards against callers that are told unknown because the endpoint of their
-// requests was lost while the service is short, and against retries without bound
-// when endpoints are lost again and again.
+// Guards against callers that get an unknown outcome because the endpoint of their
+// requests was lost while the service is short of capacity, and against retries without
+// bound when endpoints are lost repeatedly.
 func TestLostRuns(t *testing.T) {
 	is := is.New(t)
 	takeAll := func(b *budgeter.Budgeter, now cassiatally.Instant) (taken int) {
-		for b.TakeLost(now, pair) {
+		for b.TakeLostRetry(now, pair) {
 			taken++
 		}
 		return taken
 	}
 	b := &budgeter.Budgeter{}
-	is.True(b.Take(0, pair, 0, 1))
-	is.True(!b.Take(0, pair, 0, 0.5))
+	is.True(b.TakeRetry(0, pair, 0, 1))
+	is.True(!b.TakeRetry(0, pair, 0, 0.5))
 	is.Equal(takeAll(b, 0), 32) // also for a new pair, in a shortage
 	taken := 0
 	for now := cassiatally.Instant(0); now.Before(cassiatally.Instant(100 * time.Second)); now = now.Add(time.Millisecond) {
@@ -100,21 +101,21 @@
 	most := takeAll(saved, cassiatally.Instant(time.Minute))
 	is.True(most >= 200) // the successes of a second
 	is.True(most <= 220)
-	is.True(saved.Take(cassiatally.Instant(time.Minute), pair, 0, 1)) // the other budget is left
+	is.True(saved.TakeRetry(cassiatally.Instant(time.Minute), pair, 0, 1)) // the other bucket is unchanged
 }
 
-// Guards against memory that grows with the pairs, and against pairs that take
+// Guards against memory that grows with the number of pairs, and against pairs that use
 // each other's tokens.
 func TestPairs(t *testing.T) {
 	is := is.New(t)
 	b := &budgeter.Budgeter{MaxPairs: 2, Idle: time.Minute}
 	to := func(s cassiatally.Service) cassiatally.ServicePair { return cassiatally.ServicePair{To: s} }
-	is.True(b.Take(0, to("a"), 0, 1))
-	is.True(!b.Take(0, to("a"), 0, 1))
-	is.True(b.Take(0, to("b"), 0, 1))
-	is.True(!b.Take(0, to("c"), 0, 1)) // beyond the bound
+	is.True(b.TakeRetry(0, to("a"), 0, 1))
+	is.True(!b.TakeRetry(0, to("a"), 0, 1))
+	is.True(b.TakeRetry(0, to("b"), 0, 1))
+	is.True(!b.TakeRetry(0, to("c"), 0, 1)) // beyond the bound
 	later := cassiatally.Instant(2 * time.Minute)
-	is.True(b.Take(later, to("c"), 0, 1)) // idle pairs are forgotten
+	is.True(b.TakeRetry(later, to("c"), 0, 1)) // idle pairs are evicted
 }
 
 // Guards against a call tree that spends more retries than its root has.
@@ -124,25 +125,25 @@
 	first, second, third := a.Grant(), a.Grant(), a.Grant()
 	is.Equal([]cassiatally.RetryCount{first, second, third}, []cassiatally.RetryCount{1, 1, 0})
 	is.True(!a.Spend())
-	a.Settle(first, 0)
-	is.True(a.Spend()) // what a child did not spend comes back
-	a.Settle(second, 9)
-	a.Settle(third, 9)
-	is.Equal(a.Left(), cassiatally.RetryCount(0))
+	a.Release(first, 0)
+	is.True(a.Spend()) // retries that a child did not spend are available again
+	a.Release(second, 9)
+	a.Release(third, 9)
+	is.Equal(a.Remaining(), cassiatally.RetryCount(0))
 	is.Equal(a.Spent(), cassiatally.RetryCount(2))
 }
 
-// Guards against children in sequence that find the budget gone although nothing
-// was spent.
+// Guards against sequential children that use up the budget although none of them spent
+// a retry.
 func TestAllotmentInSequence(t *testing.T) {
 	is := is.New(t)
 	a := budgeter.NewAllotment(2)
 	for range 100 {
 		granted := a.Grant()
 		is.Equal(granted, cassiatally.RetryCount(1))
-		a.Settle(granted, 0)
+		a.Release(granted, 0)
 	}
-	is.Equal(a.Left(), cassiatally.RetryCount(2))
+	is.Equal(a.Remaining(), cassiatally.RetryCount(2))
 }
 
 func BenchmarkTake(b *testing.B) {
@@ -152,6 +153,6 @@
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
 		k.Succeeded(now, pair)
-		k.Take(now, pair, 0, 1)
+		k.TakeRetry(now, pair, 0, 1)
 	}
 }
--- a/cassiatally/fixedlimiter/fixedlimiter_test.go
+++ b/cassiatally/fixedlimiter/fixedlimiter_test.go
@@ -10,8 +10,8 @@
 	"github.com/cassiatally/cassiatally/cassiatally/fixedlimiter"
 )
 
-// Guards against a baseline whose limit moves, which would make comparisons
-// worthless.
+// Guards against a baseline whose limit changes, which would make comparisons
+// meaningless.
 func TestLimitIsFixed(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -27,10 +27,10 @@
 			is := is.New(t)
 			l := &c.limiter
 			l.Resize(0, 15)
-			l.Observe(0, cassiatally.RunSample{Self: time.Second})
-			l.Observe(0, cassiatally.RunSample{Self: time.Minute, Failed: true})
+			l.Observe(0, cassiatally.RunSample{SelfTime: time.Second})
+			l.Observe(0, cassiatally.RunSample{SelfTime: time.Minute, Failed: true})
 			is.Equal(l.Limit(), c.want)
-			is.Equal(l.Typical(), time.Second)
+			is.Equal(l.TypicalSelfTime(), time.Second)
 		})
 	}
 }
--- a/cassiatally/protocol/types.go
+++ b/cassiatally/protocol/types.go
@@ -6,14 +6,15 @@
 	"github.com/cassiatally/cassiatally/cassiatally"
 )
 
-// messageType numbers the messages; the numbers never change their meaning.
+// messageType is the number of a kind of message on the wire. A number never
+// changes its meaning.
 type messageType uint8
 
 const (
 	typeNone messageType = iota
 	typeHello
 	typePing
-	_ // 3 was an answer to typePing
+	_ // 3 was an answer to typePing and stays unused
 	typeCall
 	typeAnswer
 	typeCancel
@@ -104,7 +105,7 @@
 	}
 }
 
-func each[A, B any](in []A, convert func(A) B) []B {
+func convertAll[A, B any](in []A, convert func(A) B) []B {
 	if in == nil {
 		return nil
 	}
@@ -115,7 +116,7 @@
 	return out
 }
 
-func pointerTo[A, B any](in *A, convert func(A) B) *B {
+func convertPointer[A, B any](in *A, convert func(A) B) *B {
 	if in == nil {
 		return nil
 	}
--- a/cassiatally/sheetparser/coverage.go
+++ b/cassiatally/sheetparser/coverage.go
@@ -10,11 +10,12 @@
 	"github.com/cassiatally/cassiatally/cassiatally/sheet"
 )
 
-// maxSpans bounds the times that one warning lists.
+// maxSpans bounds the number of gaps that one warning lists.
 const maxSpans = 4
 
-// Rows of one kind may use several zones. Their windows are then compared in a
-// winter and a summer week, because the difference of two zones can change.
+// referenceWeeks are a winter and a summer week. Rows of one kind may use several
+// zones, and the difference between two zones can change with daylight-saving
+// time, so their windows are compared in both weeks.
 var referenceWeeks = []time.Time{
 	time.Date(2026, time.January, 12, 0, 0, 0, 0, time.UTC),
 	time.Date(2026, time.July, 13, 0, 0, 0, 0, time.UTC),
@@ -30,8 +31,8 @@
 
 func (w *week) has(m sheet.Minute) bool { return w[m/wordBits]&(1<<(m%wordBits)) != 0 }
 
-// add puts [from, to) into the set, wrapping at the end of the week, and reports
-// the first minute that was in the set before.
+// add adds the minutes [from, to), wrapping at the end of the week. It returns the
+// first of them that was in the set before, and whether there was one.
 func (w *week) add(from, to sheet.Minute) (sheet.Minute, bool) {
 	var first sheet.Minute
 	overlap := false
@@ -45,13 +46,14 @@
 	return first, overlap
 }
 
-func (w *week) union(o *week) {
+func (w *week) union(other *week) {
 	for i := range w {
-		w[i] |= o[i]
+		w[i] |= other[i]
 	}
 }
 
-// gaps returns the times that are not in the set, as text.
+// gaps returns a text with the spans of time that are not in the set. It is empty
+// when the set covers the whole week.
 func (w *week) gaps() string {
 	var spans []string
 	for m := sheet.Minute(0); m < sheet.MinutesPerWeek; m++ {
@@ -76,10 +78,10 @@
 	return day.String() + " " + (m % sheet.MinutesPerDay).String()
 }
 
-// checkTimes warns of gaps and overlaps for each kind.
-func (p *Parser) checkTimes(rows []placedRow) {
+// checkCoverage warns of gaps and overlaps for each kind.
+func (p *Parser) checkCoverage(rows []parsedRow) {
 	var order []sheet.KindRef
-	kinds := map[sheet.KindRef][]placedRow{}
+	kinds := map[sheet.KindRef][]parsedRow{}
 	for _, r := range rows {
 		if _, seen := kinds[r.Kind]; !seen {
 			order = append(order, r.Kind)
@@ -87,58 +89,58 @@
 		kinds[r.Kind] = append(kinds[r.Kind], r)
 	}
 	for _, k := range order {
-		p.checkKind(kinds[k])
+		p.checkKindCoverage(kinds[k])
 	}
 }
 
-func (p *Parser) checkKind(rows []placedRow) {
-	seen := map[string]bool{}
+func (p *Parser) checkKindCoverage(rows []parsedRow) {
+	reported := map[string]bool{}
 	for _, at := range referenceWeeks {
-		c := coverage{parser: p, rows: rows, at: at, seen: seen, sets: map[cassiatally.DataCentre]*week{}}
-		c.overlaps()
-		c.gaps()
+		c := coverage{parser: p, rows: rows, weekStart: at, reported: reported, covered: map[cassiatally.DataCentre]*week{}}
+		c.checkOverlaps()
+		c.checkGaps()
 	}
 }
 
-// coverage is the cover of the week by the rows of one kind, told in the zone of
-// the first row.
+// coverage records the minutes of a reference week that the rows of one kind
+// cover, in the zone of the first row.
 type coverage struct {
-	parser *Parser
-	rows   []placedRow
-	at     time.Time
-	seen   map[string]bool
-	order  []cassiatally.DataCentre
-	sets   map[cassiatally.DataCentre]*week
+	parser      *Parser
+	rows        []parsedRow
+	weekStart   time.Time
+	reported    map[string]bool
+	dataCentres []cassiatally.DataCentre
+	covered     map[cassiatally.DataCentre]*week
 }
 
-func (c *coverage) warn(r placedRow, wrong, right string) {
-	key := fmt.Sprint(r.raw.at, wrong)
-	if c.seen[key] {
+func (c *coverage) warn(r parsedRow, message, fix string) {
+	key := fmt.Sprint(r.raw.at, message)
+	if c.reported[key] {
 		return
 	}
-	c.seen[key] = true
-	c.parser.warnAt(r.raw.at, "", wrong, right)
+	c.reported[key] = true
+	c.parser.addWarning(r.raw.at, "", message, fix)
 }
 
-// overlaps fills the set of each data centre and warns of rows that hold at a
-// time that an earlier row of the data centre has.
-func (c *coverage) overlaps() {
+// checkOverlaps fills the set of each data centre and warns of rows whose window
+// overlaps that of an earlier row of the data centre.
+func (c *coverage) checkOverlaps() {
 	for _, r := range c.rows {
-		set, ok := c.sets[r.DataCentre]
+		set, ok := c.covered[r.DataCentre]
 		if !ok {
 			set = &week{}
-			c.sets[r.DataCentre] = set
-			c.order = append(c.order, r.DataCentre)
+			c.covered[r.DataCentre] = set
+			c.dataCentres = append(c.dataCentres, r.DataCentre)
 		}
-		if at, overlap := c.cover(set, r); overlap {
-			c.warn(r, fmt.Sprintf("%s at data centre %s has an earlier row that holds too, from %s %s on", r.Kind, r.DataCentre, weekTime(at), c.zone()),
+		if at, overlap := c.addRow(set, r); overlap {
+			c.warn(r, fmt.Sprintf("%s at data centre %s has an earlier row that holds too, from %s %s on", r.Kind, r.DataCentre, weekTime(at), c.zoneName()),
 				"the earlier row wins; change the windows so that one row holds at a time")
 		}
 	}
 }
 
-func (c *coverage) cover(set *week, r placedRow) (sheet.Minute, bool) {
-	shift := c.offset(c.rows[0].Window.Zone) - c.offset(r.Window.Zone)
+func (c *coverage) addRow(set *week, r parsedRow) (sheet.Minute, bool) {
+	shift := c.zoneOffset(c.rows[0].Window.Zone) - c.zoneOffset(r.Window.Zone)
 	var first sheet.Minute
 	overlap := false
 	for i := range 7 {
@@ -158,44 +160,44 @@
 	return first, overlap
 }
 
-func (c *coverage) gaps() {
-	others := c.sets[sheet.AnyDataCentre]
-	if others == nil {
-		others = &week{}
+func (c *coverage) checkGaps() {
+	anyCovered := c.covered[sheet.AnyDataCentre]
+	if anyCovered == nil {
+		anyCovered = &week{}
 	}
-	general := others.gaps()
-	if general != "" {
-		c.warnGap(sheet.AnyDataCentre, general)
+	anyGaps := anyCovered.gaps()
+	if anyGaps != "" {
+		c.warnGap(sheet.AnyDataCentre, anyGaps)
 	}
-	for _, dc := range c.order {
+	for _, dc := range c.dataCentres {
 		if dc == sheet.AnyDataCentre {
 			continue
 		}
-		c.sets[dc].union(others)
-		if own := c.sets[dc].gaps(); own != "" && own != general {
-			c.warnGap(dc, own)
+		c.covered[dc].union(anyCovered)
+		if gaps := c.covered[dc].gaps(); gaps != "" && gaps != anyGaps {
+			c.warnGap(dc, gaps)
 		}
 	}
 }
 
 func (c *coverage) warnGap(dc cassiatally.DataCentre, spans string) {
-	i := max(0, slices.IndexFunc(c.rows, func(r placedRow) bool { return r.DataCentre == dc }))
-	c.warn(c.rows[i], fmt.Sprintf("%s at data centre %s has no row from %s %s", c.rows[i].Kind, dc, spans, c.zone()),
+	i := max(0, slices.IndexFunc(c.rows, func(r parsedRow) bool { return r.DataCentre == dc }))
+	c.warn(c.rows[i], fmt.Sprintf("%s at data centre %s has no row from %s %s", c.rows[i].Kind, dc, spans, c.zoneName()),
 		"add rows for these times; work without a row gets the least urgent rank and no share")
 }
 
-func (c *coverage) zone() string {
+func (c *coverage) zoneName() string {
 	if z := c.rows[0].Window.Zone; z != "" {
 		return string(z)
 	}
 	return "UTC"
 }
 
-func (c *coverage) offset(z sheet.Zone) sheet.Minute {
-	loc, err := c.parser.location(z)
+func (c *coverage) zoneOffset(z sheet.Zone) sheet.Minute {
+	loc, err := c.parser.loadLocation(z)
 	if err != nil {
 		return 0
 	}
-	_, seconds := c.at.In(loc).Zone()
+	_, seconds := c.weekStart.In(loc).Zone()
 	return sheet.Minute(seconds / 60)
 }
--- a/cassiatally/sheetparser/parser.go
+++ b/cassiatally/sheetparser/parser.go
@@ -1,6 +1,6 @@
 // Package sheetparser reads a sheet from CSV, as spreadsheets write it, or from
-// YAML. It reports every problem with file, line, column, what is wrong and what
-// would be right. Errors keep a sheet from being used; warnings do not.
+// YAML. It reports every problem with file, line, column, what is wrong and how to
+// correct it. A sheet with errors is not used; one with warnings is.
 //
 // # Usage
 //
@@ -29,8 +29,8 @@
 	"github.com/cassiatally/cassiatally/cassiatally/sheet"
 )
 
-// Parser reads sheets. The zero value is ready, and one Parser must not be used
-// by two goroutines at a time.
+// Parser reads sheets. The zero value is ready to use. A Parser is not safe for
+// concurrent use.
 type Parser struct {
 	file      string
 	report    Report
@@ -38,38 +38,38 @@
 	separator rune
 }
 
-// cell is the text of a field and its place in the file.
+// cell is the text of a field and its position in the file.
 type cell struct {
 	text string
 	at   Position
 }
 
-// rawRow is a row of text. Columns that are absent have no cell.
+// rawRow is the unparsed text of a row. Columns that are absent have no cell.
 type rawRow struct {
 	at    Position
 	cells map[sheet.Column]cell
-	// invalid marks a row that was reported as a whole.
+	// invalid is set when an error was reported for the row as a whole.
 	invalid bool
 }
 
-// placedRow is a row of the sheet and its place in the file.
-type placedRow struct {
+// parsedRow is a row of the sheet and the text from which it was parsed.
+type parsedRow struct {
 	sheet.Row
 	raw rawRow
 }
 
-// Parse reads a sheet. The name of the file decides the format: .yaml and .yml
-// are YAML, all others CSV. The sheet is empty when the report has errors.
+// Parse reads a sheet. The extension of the file name selects the format: .yaml
+// and .yml are YAML, all others CSV. The sheet is empty when the report has errors.
 func (p *Parser) Parse(file string, data []byte) (sheet.Sheet, Report) {
 	*p = Parser{file: file, zones: map[sheet.Zone]*time.Location{}}
 	if len(data) > sheet.MaxBytes {
-		p.errorAt(Position{1, 1}, "", fmt.Sprintf("the file has %d bytes", len(data)), fmt.Sprintf("at most %d bytes are allowed", sheet.MaxBytes))
+		p.addError(Position{1, 1}, "", fmt.Sprintf("the file has %d bytes", len(data)), fmt.Sprintf("at most %d bytes are allowed", sheet.MaxBytes))
 		return sheet.Sheet{}, p.report
 	}
 	data = bytes.TrimPrefix(data, []byte("\ufeff"))
-	rows := p.convertAll(p.readRows(file, data))
+	rows := p.convertRows(p.readRows(file, data))
 	p.checkRows(rows)
-	return p.result(rows), p.report
+	return p.buildSheet(rows), p.report
 }
 
 func (p *Parser) readRows(file string, data []byte) []rawRow {
@@ -81,9 +81,9 @@
 	}
 }
 
-// result makes the sheet. A sheet that was read from bounded text may still
-// exceed the bound in its canonical form.
-func (p *Parser) result(rows []placedRow) sheet.Sheet {
+// buildSheet returns the sheet. Its canonical form can exceed sheet.MaxBytes even
+// when the text that was read does not.
+func (p *Parser) buildSheet(rows []parsedRow) sheet.Sheet {
 	if len(p.report.Errors) > 0 {
 		return sheet.Sheet{}
 	}
@@ -92,28 +92,28 @@
 		s.Rows = append(s.Rows, r.Row)
 	}
 	if n := len(s.CSV()); n > sheet.MaxBytes {
-		p.errorAt(Position{1, 1}, "", fmt.Sprintf("the sheet has %d bytes in its canonical form", n), fmt.Sprintf("at most %d bytes are allowed", sheet.MaxBytes))
+		p.addError(Position{1, 1}, "", fmt.Sprintf("the sheet has %d bytes in its canonical form", n), fmt.Sprintf("at most %d bytes are allowed", sheet.MaxBytes))
 		return sheet.Sheet{}
 	}
 	return s
 }
 
-func (p *Parser) errorAt(at Position, c sheet.Column, wrong, right string) {
-	p.report.add(Problem{File: p.file, Position: at, Severity: SeverityError, Field: c, Wrong: wrong, Right: right})
+func (p *Parser) addError(at Position, c sheet.Column, message, fix string) {
+	p.report.add(Problem{File: p.file, Position: at, Severity: SeverityError, Field: c, Message: message, Fix: fix})
 }
 
-func (p *Parser) warnAt(at Position, c sheet.Column, wrong, right string) {
-	p.report.add(Problem{File: p.file, Position: at, Severity: SeverityWarning, Field: c, Wrong: wrong, Right: right})
+func (p *Parser) addWarning(at Position, c sheet.Column, message, fix string) {
+	p.report.add(Problem{File: p.file, Position: at, Severity: SeverityWarning, Field: c, Message: message, Fix: fix})
 }
 
-// knownColumn returns the column of a name and reports names that are unknown.
-func (p *Parser) knownColumn(at Position, name string) (sheet.Column, bool) {
+// findColumn returns the column of a name and reports an error when there is none.
+func (p *Parser) findColumn(at Position, name string) (sheet.Column, bool) {
 	for _, c := range sheet.Columns() {
 		if string(c) == name {
 			return c, true
 		}
 	}
-	p.errorAt(at, "", fmt.Sprintf("unknown column %q", name), "use "+columnList())
+	p.addError(at, "", fmt.Sprintf("unknown column %q", name), "use "+columnList())
 	return "", false
 }
 
--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -123,7 +123,7 @@
 		Inbox:    d.inbox,
 		Handle:   func(now cassiatally.Instant, e event) { e.apply(d, now) },
 		Tick:     d.tick,
-		Every:    tickEvery,
+		Interval: tickEvery,
 		NextWake: d.Router.NextWake,
 	}
 	d.duty.Run()
@@ -131,7 +131,7 @@
 
 // Refused returns how many messages found no room in the inbox.
 func (d *Dispatcher) Refused() uint64 {
-	refused, _ := d.inbox.Lost()
+	refused, _ := d.inbox.LossCounts()
 	return refused
 }
 
@@ -152,8 +152,8 @@
 	d.inbox.Offer(withdrawEvent{id: id}, 0)
 }
 
-// Ask sends a query for a key's outcome to a node.
-func (d *Dispatcher) Ask(to cassiatally.NodeID, q cassiatally.KeyQuery, timeout time.Duration, reply Reply) bool {
+// QueryKey sends a query for a key's outcome to a node.
+func (d *Dispatcher) QueryKey(to cassiatally.NodeID, q cassiatally.KeyQuery, timeout time.Duration, reply Reply) bool {
 	return d.inbox.Offer(askEvent{to: to, query: q, timeout: timeout, reply: reply}, answerReserve)
 }
 
@@ -195,7 +195,7 @@
 func (d *Dispatcher) tick(now cassiatally.Instant) {
 	d.carryOut(now, d.Router.Tick(now))
 	counts := d.Router.Counts()
-	counts.Foreign += d.foreign
+	counts.ForeignAnswers += d.foreign
 	d.counts.Store(&counts)
 	for id, a := range d.asks {
 		if now.Reached(a.deadline) {
@@ -239,7 +239,7 @@
 	d.carryOut(now, d.Router.LinkSilent(now, e.peer))
 }
 
-func (e heardEvent) apply(d *Dispatcher, _ cassiatally.Instant) { d.Balancer.Heard(e.peer.Node) }
+func (e heardEvent) apply(d *Dispatcher, _ cassiatally.Instant) { d.Balancer.Responding(e.peer.Node) }
 
 func (e failedEvent) apply(d *Dispatcher, now cassiatally.Instant) {
 	d.carryOut(now, d.Router.SendFailed(now, e.to, e.m))
@@ -248,7 +248,7 @@
 func (e endpointsEvent) apply(d *Dispatcher, now cassiatally.Instant) {
 	d.Balancer.Update(now, e.candidates)
 	for _, l := range e.loads {
-		d.Loads.Observe(l.At, l.Node, l.Load)
+		d.Loads.RecordEndpoint(l.At, l.Node, l.Load)
 	}
 }
 
--- a/node/instancekeeper/instancekeeper.go
+++ b/node/instancekeeper/instancekeeper.go
@@ -98,11 +98,11 @@
 	service := k.Service
 	k.service.Store(&service)
 	k.duty = looper.Looper[event]{
-		Clock:  k.Clock,
-		Inbox:  k.inbox,
-		Handle: func(now cassiatally.Instant, e event) { e.apply(k, now) },
-		Tick:   func(cassiatally.Instant) { k.probeExpected() },
-		Every:  tickEvery,
+		Clock:    k.Clock,
+		Inbox:    k.inbox,
+		Handle:   func(now cassiatally.Instant, e event) { e.apply(k, now) },
+		Tick:     func(cassiatally.Instant) { k.probeExpected() },
+		Interval: tickEvery,
 	}
 	k.duty.Run()
 }
@@ -157,7 +157,7 @@
 		k.Logger.Debug("instance report not used", "instance", e.report.Instance, "sequence", e.report.Sequence, "state", e.report.State, "in_place", before.Instance)
 		return
 	}
-	if before.Instance != e.report.Instance || before.State != e.report.State || before.Born != e.report.Born {
+	if before.Instance != e.report.Instance || before.State != e.report.State || before.StartedMs != e.report.StartedMs {
 		k.Logger.Info("instance in place", "instance", e.report.Instance, "service", e.report.Service, "state", e.report.State, "sequence", e.report.Sequence, "before", before.Instance)
 	}
 	k.announce()
@@ -182,7 +182,7 @@
 
 func (e leftEvent) apply(k *Keeper, now cassiatally.Instant) {
 	defer close(e.done)
-	if k.Tracker.Left(now, e.id) {
+	if k.Tracker.RecordLeave(now, e.id) {
 		k.Logger.Info("instance left", "instance", e.id)
 		k.Backend.Withdraw()
 	}
--- a/node/memberkeeper/memberkeeper.go
+++ b/node/memberkeeper/memberkeeper.go
@@ -78,18 +78,18 @@
 	k.known = make(map[cassiatally.NodeID]cassiatally.Incarnation)
 	k.view.Store(k.Registrar.View(k.Clock.Now()))
 	k.duty = looper.Looper[event]{
-		Clock:  k.Clock,
-		Inbox:  k.inbox,
-		Handle: func(now cassiatally.Instant, e event) { e.apply(k, now) },
-		Tick:   k.tick,
-		Every:  tickEvery,
+		Clock:    k.Clock,
+		Inbox:    k.inbox,
+		Handle:   func(now cassiatally.Instant, e event) { e.apply(k, now) },
+		Tick:     k.tick,
+		Interval: tickEvery,
 	}
 	k.duty.Run()
 }
 
 // Refused returns how many messages found no room in the inbox.
 func (k *Keeper) Refused() uint64 {
-	refused, _ := k.inbox.Lost()
+	refused, _ := k.inbox.LossCounts()
 	return refused
 }
 
@@ -182,13 +182,13 @@
 }
 
 func (e sheetEvent) apply(k *Keeper, now cassiatally.Instant) {
-	k.carryOut(k.Registrar.SetSheet(now, e.version))
+	k.carryOut(k.Registrar.SetSheetVersion(now, e.version))
 }
 
 func (e epochsEvent) apply(k *Keeper, _ cassiatally.Instant) { k.Registrar.SetShardEpochs(e.sum) }
 
 func (e foundEvent) apply(k *Keeper, now cassiatally.Instant) {
-	actions := k.Registrar.Found(now, e.members)
+	actions := k.Registrar.MergeStored(now, e.members)
 	k.show(now) // the links of the introductions need the addresses
 	k.carryOut(actions)
 }
--- a/node/sheetkeeper/sheetkeeper.go
+++ b/node/sheetkeeper/sheetkeeper.go
@@ -89,11 +89,11 @@
 	k.inbox = ring.New[event](inboxSize, ring.Wait)
 	k.appends = ring.New[cassiatally.SheetRecord](appendRing, ring.RefuseNewest)
 	k.duty = looper.Looper[event]{
-		Clock:  k.Clock,
-		Inbox:  k.inbox,
-		Handle: func(now cassiatally.Instant, e event) { e.apply(k, now) },
-		Tick:   func(now cassiatally.Instant) { k.carryOut(k.Follower.Tick(now)) },
-		Every:  tickEvery,
+		Clock:    k.Clock,
+		Inbox:    k.inbox,
+		Handle:   func(now cassiatally.Instant, e event) { e.apply(k, now) },
+		Tick:     func(now cassiatally.Instant) { k.carryOut(k.Follower.Tick(now)) },
+		Interval: tickEvery,
 	}
 	k.duty.Run()
 	k.helpers.Go(k.serveAppends)
@@ -101,7 +101,7 @@
 
 // Refused returns how many messages found no room in the inbox.
 func (k *Keeper) Refused() uint64 {
-	refused, _ := k.inbox.Lost()
+	refused, _ := k.inbox.LossCounts()
 	return refused
 }
 
@@ -183,7 +183,7 @@
 }
 
 func (k *Keeper) decode(b cassiatally.Batch) follower.Batch {
-	out := follower.Batch{First: b.First, Next: b.Next}
+	out := follower.Batch{First: b.Oldest, Next: b.Next}
 	for _, r := range b.Records {
 		entry := follower.Record{Offset: r.Offset, Expires: r.Expires}
 		m, err := k.Codec.Decode(r.Data)
--- a/operator/command/sheet/publish/publish.go
+++ b/operator/command/sheet/publish/publish.go
@@ -138,7 +138,7 @@
 		return json.NewEncoder(o.Env.Stdout).Encode(output{true, r.Record.Version, r.Record.Digest.String(), r.Record.Publisher, nil})
 	}
 	verb := "accepted"
-	if r.Found {
+	if r.AlreadyAccepted {
 		verb = "was accepted before"
 	}
 	_, err := fmt.Fprintf(o.Env.Stdout, "version %d %s at offset %d\n", r.Record.Version, verb, r.Offset)
@@ -157,7 +157,7 @@
 		changes = d.Diff(winner, s)
 	}
 	if o.JSON {
-		out := output{false, c.Winner.Version, c.Winner.Digest.String(), c.Winner.Publisher, sheetdiffer.Rows(changes)}
+		out := output{false, c.Winner.Version, c.Winner.Digest.String(), c.Winner.Publisher, sheetdiffer.ChangeRows(changes)}
 		return errors.CombineErrors(c, json.NewEncoder(o.Env.Stdout).Encode(out))
 	}
 	fmt.Fprint(o.Env.Stdout, d.Text(changes))
