--- a/cassiatally/admitter/admitter.go
+++ b/cassiatally/admitter/admitter.go
@@ -2,7 +2,7 @@
 // and which are refused.
 //
 // An Admitter queues calls by rank. Free capacity goes first to ranks that use
-// less than their kept share, and then to the ranks in strict order of urgency.
+// less than their reserved share, and then to the ranks in strict order of urgency.
 // Within a rank the call with the lowest order value starts first, so that every
 // service of a chain serves the same call trees. Calls that cannot finish before
 // their deadline are dropped before work is spent on them. The queue is bounded by
@@ -43,30 +43,31 @@
 	// period could cause every call to be dropped, and the run time would never be
 	// measured again.
 	typicalDecay = 0.8
-	// needMargin is the divisor of the typical run time that gives the margin for the
-	// transfer of the answer and for the error of the estimate (1/20 of the run time).
+	// needMargin divides the typical run time to give the margin for the transfer of
+	// the answer and for the error of the estimate (1/20 of the run time).
 	// Where run times hardly vary, calls started with just the typical time left, and
 	// their answers came late.
 	needMargin = 20
-	// tokenTime is the time for which a rank can save up its kept share. With a
-	// longer time, a rank that was idle could delay urgent work.
+	// tokenTime is the time for which a rank can save up its reserved share. With
+	// a longer time, a rank that was idle could delay urgent work.
 	tokenTime = 250 * time.Millisecond
 	// urgentBound multiplies the bound of the queue for the most urgent rank of the
 	// sheet. When the limiter halves the limit for a probe, urgent calls that can wait
 	// must not be refused; their deadlines still bound the queue.
 	urgentBound = 3
-	// onwardLead is subtracted from the key of an onward call, so that onward calls
-	// are served before, and refused after, all calls that come from callers.
+	// onwardLead is subtracted from the position of an onward call within its rank, the
+	// key of its item. Onward calls are then served before, and refused after, all calls
+	// that come from callers.
 	// Refusing an onward call wastes the work that upstream services have done for
 	// it; in an overload trial, one call in seven that passed the entry was wasted
 	// that way.
 	onwardLead = 1e6
-	// rescueTime is the time before its latest possible start at which a call goes
-	// first, if its rank fits the capacity. In a busy period, calls with a high order
+	// A call goes first in its rank when it has to start within rescueTime to meet its
+	// deadline, if the rank fits the capacity. In a busy period, calls with a high order
 	// value would otherwise wait until their deadline passes.
 	rescueTime = 200 * time.Millisecond
-	// minTokenCap and minQuota allow for uneven arrivals at a rank with a small kept
-	// share.
+	// minTokenCap and minQuota allow for uneven arrivals at a rank with a small
+	// reserved share.
 	minTokenCap = 4
 	minQuota    = 4
 	// A backend server is taken to be stalled when at least stallRuns runs are in
@@ -80,8 +81,8 @@
 type Admitter struct {
 	// TargetWait bounds the queue by the time it takes to serve it; 0 means 100 ms.
 	TargetWait time.Duration
-	// Proportion, when above 0, replaces the kept shares of entries: each rank but the
-	// most urgent keeps this fraction of what it would get if capacity were divided in
+	// Proportion, when above 0, replaces the reserved shares of entries: each rank but
+	// the most urgent keeps this fraction of what it would get if capacity were divided in
 	// proportion to demand. Less urgent work is then served a little less, instead of
 	// not at all.
 	Proportion float64
@@ -229,18 +230,18 @@
 
 // evictionCandidate returns the entry to refuse when the queue is too long, and nil
 // when it is not. That is the entry that would be served last: the one with the
-// highest key, of the least urgent rank that has more entries than its kept share of
-// the queue. Entries within a kept share don't count towards the bound, so that they
-// take no room from urgent work. Rank 0 and onward calls have a larger bound.
+// highest key, of the least urgent rank that has more entries than its reserved share
+// of the queue. Entries within a reserved share don't count towards the bound, so that
+// they take no room from urgent work. Rank 0 and onward calls have a larger bound.
 func (a *Admitter) evictionCandidate() *item {
 	bound := a.bound()
 	room := bound + a.meter.free()
 	var last *item
 	for i := range a.q.byKeyDescending {
 		r := cassiatally.Rank(i)
-		n, kept := a.q.rankLen(r), a.quota(r, bound)
-		room -= max(n-kept, 0)
-		if n > kept {
+		n, reserved := a.q.rankLen(r), a.quota(r, bound)
+		room -= max(n-reserved, 0)
+		if n > reserved {
 			last = a.q.byKeyDescending[r].top()
 		}
 	}
@@ -253,7 +254,7 @@
 	return last
 }
 
-// quota returns the number of entries that the kept share of a rank may hold.
+// quota returns the number of entries that the reserved share of a rank may hold.
 func (a *Admitter) quota(r cassiatally.Rank, bound int) int {
 	return quota(float64(a.ranks[r].share), bound)
 }
@@ -314,14 +315,14 @@
 	return it.entry.Deadline.Sub(now) < need
 }
 
-// spend takes a token for a call that starts. A call that starts by the order of
+// spend removes a token for a call that starts. A call that starts by the order of
 // urgency, without a token, leaves no debt.
 func (s *rankState) spend() { s.tokens = max(s.tokens-1, 0) }
 
-// hasToken reports whether the kept share of the rank pays for a call. Tokens never
-// go below zero: with a debt of up to a second, onward calls used up the share at the
-// start of a flood, and calls of callers then waited until the debt was paid and were
-// too late.
+// hasToken reports whether the reserved share of the rank pays for a call. Tokens
+// never go below zero: with a debt of up to a second, onward calls used up the share
+// at the start of a flood, and calls of callers then waited until the debt was paid and
+// were too late.
 func (s *rankState) hasToken() bool { return s.share > 0 && s.tokens >= 1 }
 
 // nextItem returns the entry to start next: from the most urgent rank that has a
@@ -377,8 +378,8 @@
 	return 2 * passed
 }
 
-// Done records the end of a run. Each end adds tokens to the kept shares, so a share
-// is a fraction of what the backend server completes, whatever its speed.
+// Done records the end of a run. Each end adds tokens to the reserved shares, so a
+// share is a fraction of what the backend server completes, whatever its speed.
 func (a *Admitter) Done(now cassiatally.Instant, r cassiatally.Rank, busy time.Duration) {
 	r = min(r, cassiatally.MaxRanks-1)
 	a.times.recordEnd(r, busy, a.ranks[r].probes.started)
@@ -387,8 +388,8 @@
 	a.runEnded(now)
 }
 
-// CutOff records the end of a run that was cut off before the backend server finished
-// it.
+// CutOff records the end of a run that was cut off before the backend server
+// finished it.
 func (a *Admitter) CutOff(now cassiatally.Instant, r cassiatally.Rank, busy time.Duration) {
 	r = min(r, cassiatally.MaxRanks-1)
 	a.times.recordCut(r, busy)
@@ -429,9 +430,9 @@
 	}
 }
 
-// setProportionalShares sets the kept shares from the demand of each rank. The most
-// urgent rank with demand keeps its whole proportion, so that it goes before the kept
-// shares of the others.
+// setProportionalShares sets the reserved shares from the demand of each rank. The
+// most urgent rank with demand keeps its whole proportion, so that it goes before the
+// reserved shares of the others.
 func (a *Admitter) setProportionalShares() {
 	demands := a.meter.demands()
 	total := 0.0
--- a/cassiatally/admitter/admitter_test.go
+++ b/cassiatally/admitter/admitter_test.go
@@ -64,8 +64,8 @@
 	// goodput is the fraction of the capacity that was completed in time, and urgent
 	// the fraction of rank 0 that was not lost.
 	goodput, urgent float64
-	// shares has, for each flow, what it completed divided by its kept share or its
-	// demand, whichever is less.
+	// shares has, for each flow, what it completed divided by its reserved share or
+	// its demand, whichever is less.
 	shares []float64
 }
 
@@ -83,7 +83,7 @@
 }
 
 // Guards against goodput that collapses, urgent work that is shed, and ranks that get
-// less than their kept share while demand exceeds capacity.
+// less than their reserved share while demand exceeds capacity.
 func TestFlood(t *testing.T) {
 	for _, b := range backends {
 		for _, factor := range []float64{1.5, 3, 6} {
--- a/cassiatally/admitter/fleet_test.go
+++ b/cassiatally/admitter/fleet_test.go
@@ -422,9 +422,10 @@
 	return sum / fleetCapacity
 }
 
-// Guards against a flood of the most urgent work that takes the kept shares of other
-// ranks, in two ways: levels at the entry that follow the backlog of the urgent rank,
-// and onward calls that use up a kept share at the expense of calls from callers.
+// Guards against a flood of the most urgent work that takes the reserved shares of
+// other ranks, in two ways: levels at the entry that follow the backlog of the urgent
+// rank, and onward calls that use up a reserved share at the expense of calls from
+// callers.
 func TestFleetKeepsShares(t *testing.T) {
 	for seed := range uint64(fleetSeeds) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -432,9 +433,9 @@
 			f := fleetAt(seed, stage{warm + loaded, []float64{4, 0.4, 0.4, 0.4, 0.4}})
 			from, to := warm+settling, warm+loaded
 			for r := range cassiatally.Rank(fleetRanks) {
-				kept := f.completedPerSecond(r, from, to) / fleetCapacity
-				t.Logf("rank %d completes %.3f of the capacity, share %.2f", r, kept, f.shares[r])
-				is.True(kept >= shareTarget*float64(f.shares[r]))
+				completed := f.completedPerSecond(r, from, to) / fleetCapacity
+				t.Logf("rank %d completes %.3f of the capacity, share %.2f", r, completed, f.shares[r])
+				is.True(completed >= shareTarget*float64(f.shares[r]))
 			}
 			is.True(f.goodput(from, to) >= goodputTarget)
 		})
--- a/cassiatally/admitter/meter.go
+++ b/cassiatally/admitter/meter.go
@@ -14,11 +14,13 @@
 	shortWindows = 4
 	// longWindows is the number of windows in the long average; a level falls only if
 	// both averages agree. A small backend server gets too few calls in a few windows
-	// to tell overload from chance, and a probe of the limiter is no loss of capacity.
+	// to distinguish overload from chance, and a probe of the limiter is no loss of
+	// capacity.
 	longWindows = 12
 	minLevel    = 0.01
-	maxGrowth   = 1.5
-	// maxShrink is the lowest factor of a level in one window, for the same reason.
+	// maxGrowth is the highest and maxShrink the lowest factor of a level in one window,
+	// so that a single unusual window has a bounded effect.
+	maxGrowth = 1.5
 	maxShrink = 0.5
 	// minEnded is the number of ended runs below which the throughput of the windows
 	// is too coarse to be used.
@@ -45,7 +47,7 @@
 	urgentBacklog   = 1.5
 	urgentShortfall = 0.75
 	// keptBacklogTarget is the fraction of its own places in the queue that a rank
-	// should fill with calls that only its kept share pays for.
+	// should fill with calls that only its reserved share pays for.
 	keptBacklogTarget = 0.5
 )
 
@@ -267,7 +269,7 @@
 	// available is the capacity for a rank, in runs per second.
 	available perRank
 	// levels are those at which the demand just fits the available capacity, and kept
-	// are those at which it just fits the kept share.
+	// are those at which it just fits the reserved share.
 	levels, kept perRank
 }
 
@@ -346,17 +348,17 @@
 	return 1 + chanceGain*(chanceTarget-backlog)
 }
 
-// keptBacklogFactor does the same for the level of the kept share, with the backlog of
-// the rank itself as a fraction of its own places in the queue. More urgent calls in
-// the queue do not delay what the kept share pays for: with the factor of the whole
+// keptBacklogFactor does the same for the level of the reserved share, with the backlog
+// of the rank itself as a fraction of its own places in the queue. More urgent calls in
+// the queue do not delay what the reserved share pays for: with the factor of the whole
 // queue, a flood of the most urgent work took a sixth of the share of rank 1.
 func keptBacklogFactor(own float64) float64 {
 	const gain = 0.2
 	return 1 + gain*(keptBacklogTarget-own)
 }
 
-// quota returns the number of places in the queue that a kept share has in addition
-// to the bound.
+// quota returns the number of places in the queue that a reserved share has in
+// addition to the bound.
 func quota(share float64, bound int) int {
 	if share <= 0 {
 		return 0
@@ -380,7 +382,7 @@
 	return s.belowLevel[r] / max(passed, minLevel*s.seconds/2)
 }
 
-// allocate divides the capacity: first by kept shares, then in strict order of
+// allocate divides the capacity: first by reserved shares, then in strict order of
 // urgency. An unknown capacity counts as unlimited.
 func allocate(capacity float64, rates, shares perRank) (available perRank) {
 	if capacity <= 0 {
@@ -389,16 +391,16 @@
 		}
 		return available
 	}
-	var kept perRank
+	var reserved perRank
 	left := capacity
-	for r := range kept {
-		kept[r] = min(shares[r]*capacity, rates[r])
-		left -= kept[r]
+	for r := range reserved {
+		reserved[r] = min(shares[r]*capacity, rates[r])
+		left -= reserved[r]
 	}
 	for r := range available {
-		own := max(left, 0) + kept[r]
+		own := max(left, 0) + reserved[r]
 		available[r] = max(own, shares[r]*capacity)
-		left -= max(min(rates[r], own)-kept[r], 0)
+		left -= max(min(rates[r], own)-reserved[r], 0)
 	}
 	return available
 }
--- a/cassiatally/admitter/proportion_test.go
+++ b/cassiatally/admitter/proportion_test.go
@@ -16,10 +16,10 @@
 // that is served. Entry nodes refuse calls by the levels that it publishes.
 func shortage(a *admitter.Admitter) (served [3]float64) {
 	const (
-		places  = 17
-		run     = 22 * time.Millisecond
-		demand  = 2.0
-		seconds = 20
+		serverSlots = 17
+		run         = 22 * time.Millisecond
+		demand      = 2.0
+		seconds     = 20
 	)
 	mix := [3]float64{0.05, 0.57, 0.38}
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -45,7 +45,7 @@
 		}
 		busy = left
 		for r, part := range mix {
-			rate := demand * part * places / run.Seconds() / 1000
+			rate := demand * part * serverSlots / run.Seconds() / 1000
 			for rate > 0 && rng.Float64() < rate {
 				rate--
 				offered[r]++
@@ -59,12 +59,12 @@
 				a.Offer(now, cassiatally.Entry{ID: id, Rank: cassiatally.Rank(r), Order: cassiatally.Order(order), Deadline: now.Add(500 * time.Millisecond)})
 			}
 		}
-		start, _ := a.Next(now, places-len(busy))
+		start, _ := a.Next(now, serverSlots-len(busy))
 		for _, id := range start {
 			busy = append(busy, running{ranks[id], now.Add(run)})
 		}
 		if ms%100 == 0 {
-			a.Tick(now, places)
+			a.Tick(now, serverSlots)
 		}
 	}
 	for r := range served {
--- a/cassiatally/admitter/queue.go
+++ b/cassiatally/admitter/queue.go
@@ -10,8 +10,8 @@
 type item struct {
 	entry cassiatally.Entry
 	rank  cassiatally.Rank
-	// key is the order value, scaled up for a tenant above its fair share, less an
-	// offset for onward calls; the lowest goes first.
+	// key is the position within the rank, the lowest first: the order value, scaled up
+	// for a tenant above its fair share, less onwardLead for onward calls.
 	key float64
 	// probe marks an entry that starts although the estimated run time is longer than
 	// the time until its deadline.
--- a/cassiatally/ranker/ranker.go
+++ b/cassiatally/ranker/ranker.go
@@ -145,8 +145,8 @@
 	return cassiatally.NewError(cassiatally.KindUnknownKind, "version %d of the sheet has no kind %q of service %q; check the name", r.version, w, s)
 }
 
-// Shares returns the share of capacity that each rank keeps under overload by other
-// ranks. A rank that the sheet does not use has share 0.
+// Shares returns the reserved share of each rank: the part of the capacity that it
+// keeps under overload by other ranks. A rank that the sheet does not use has share 0.
 func (r *Ranker) Shares() [cassiatally.MaxRanks]cassiatally.Share { return r.shares }
 
 // Version returns the version of the sheet.
