--- a/cassiatally/balancer/balancer.go
+++ b/cassiatally/balancer/balancer.go
@@ -32,9 +32,10 @@
 	defaultConnectionShare = 0.25
 	defaultSlowStart       = 5 * time.Second
 	defaultExclusion       = 5 * time.Second
-	// minUnreachedPause is how long an endpoint that was not reached is chosen only
-	// when there is no other one. Membership takes 3 s to 10 s to suspect its node, and
-	// with fewer than three endpoints a service excludes none.
+	// After a call that did not reach an endpoint, the endpoint is chosen only when
+	// there is no other one, at first for minUnreachedPause. Membership takes 3 s to
+	// 10 s to suspect its node, and with fewer than three endpoints a service excludes
+	// none.
 	minUnreachedPause = time.Second
 	// maxUnreachedPause bounds the doubling of the pause while the endpoint stays out of
 	// reach, as in a data centre that is cut off.
--- a/cassiatally/limiter/limiter.go
+++ b/cassiatally/limiter/limiter.go
@@ -46,8 +46,9 @@
 	// testLimitRatio is the highest ratio of the limit to the one before the cut at
 	// which the self times are compared.
 	testLimitRatio = 0.75
-	// queueingMargin: if self time falls as far as the limit, within this part of the
-	// difference, the limit may still be too high.
+	// After a cut, the limit may still be too high if self time fell as far as the limit.
+	// queueingMargin is the part of the limit's fall by which self time may have fallen
+	// less.
 	queueingMargin = 0.2
 	// furtherCutFactor is the factor of a probe that follows another one. A deep cut of
 	// a limit that is already right would make a small backend server refuse urgent
--- a/cassiatally/limiter/limiter_test.go
+++ b/cassiatally/limiter/limiter_test.go
@@ -32,9 +32,9 @@
 }
 
 var backends = []backend{
-	{"wide and honest", 110, 110, 20 * time.Millisecond},
+	{"wide", 110, 110, 20 * time.Millisecond},
 	{"wide and slow", 90, 90, 100 * time.Millisecond},
-	{"narrow and honest", 15, 15, 10 * time.Millisecond},
+	{"narrow", 15, 15, 10 * time.Millisecond},
 	{"narrow and slow", 10, 10, 50 * time.Millisecond},
 	{"narrow and fast", 10, 10, 2 * time.Millisecond},
 	{"announces almost three times its slots", 110, 40, 10 * time.Millisecond},
--- a/cassiatally/loadtracker/loadtracker.go
+++ b/cassiatally/loadtracker/loadtracker.go
@@ -38,9 +38,9 @@
 	// With answerWeight alone, an entry with ten answers a second went on refusing for
 	// two seconds after endpoints had recovered.
 	answerSmoothing = 100 * time.Millisecond
-	// answerEndpoints is the number of endpoints as which the smoothed levels from
-	// answers count. Each answer has the level of one endpoint, but the smoothed levels
-	// come from many.
+	// The smoothed levels from answers count as much as the reports of answerEndpoints
+	// endpoints: each answer has the level of one endpoint, but the smoothed levels come
+	// from many.
 	answerEndpoints = 4
 	// minLevel is the lowest level that endpoints report.
 	minLevel = 0.01
@@ -53,7 +53,7 @@
 type Tracker struct {
 	// Fresh is the age up to which a level counts in full; 0 means 2 s.
 	Fresh time.Duration
-	// Drift is the time in which a level older than that returns to 1; 0 means 1 s.
+	// Drift is the time in which a level older than Fresh returns to 1; 0 means 1 s.
 	Drift time.Duration
 	// Expiry is the time after which unused entries are evicted; 0 means 5 min.
 	Expiry time.Duration
@@ -96,7 +96,7 @@
 
 var _ cassiatally.LoadTracker = (*Tracker)(nil)
 
-// RecordChain records the levels of the services that a (service, kind) touched.
+// RecordChain records which services a (service, kind) touched, and their levels.
 func (t *Tracker) RecordChain(now cassiatally.Instant, s cassiatally.Service, w cassiatally.WorkKind, loads []cassiatally.ServiceLoad) {
 	c := t.chain(now, work{s, w})
 	for _, load := range loads {
@@ -109,8 +109,8 @@
 	}
 }
 
-// RecordEndpoint records the levels that one endpoint had at an instant. Gossip repeats old
-// reports; a report that is not newer than the last one changes nothing.
+// RecordEndpoint records the levels that one endpoint had at an instant. Gossip
+// repeats old reports; a report that is not newer than the last one changes nothing.
 func (t *Tracker) RecordEndpoint(at cassiatally.Instant, n cassiatally.NodeID, load cassiatally.ServiceLoad) {
 	v := t.service(at, load.Service)
 	if v == nil {
--- a/cassiatally/loadtracker/loadtracker_test.go
+++ b/cassiatally/loadtracker/loadtracker_test.go
@@ -170,17 +170,17 @@
 func TestBounds(t *testing.T) {
 	is := is.New(t)
 	l := &loadtracker.Tracker{MaxKinds: 10, MaxServices: 10}
-	learn := func(now cassiatally.Instant, i int) {
+	record := func(now cassiatally.Instant, i int) {
 		s := cassiatally.Service(fmt.Sprint("s", i))
 		l.RecordChain(now, s, "w", []cassiatally.ServiceLoad{load(s, 1, 0.5), load("shared", 1, 0.2)})
 	}
 	for i := range 100 {
-		learn(0, i)
+		record(0, i)
 	}
 	is.Equal(l.Level(0, "s3", 0), cassiatally.Level(0.5))
 	is.Equal(l.Level(0, "s99", 0), cassiatally.Level(1)) // beyond the bound
 	later := cassiatally.Instant(6 * time.Minute)
-	learn(later, 99)
+	record(later, 99)
 	is.Equal(l.Level(later, "s99", 0), cassiatally.Level(0.5))
 }
 
