--- a/cassiatally/claimer/outbox.go
+++ b/cassiatally/claimer/outbox.go
@@ -39,7 +39,7 @@
 // to its standby.
 type outbox struct {
 	entries []outboxEntry
-	// sent counts the entries that have been sent at least once.
+	// sentCount counts the entries that have been sent at least once.
 	sentCount  int
 	seq, acked uint64
 	sentAt     cassiatally.Instant
--- a/cassiatally/router/answer.go
+++ b/cassiatally/router/answer.go
@@ -166,8 +166,8 @@
 	return isEndpointLoss(a.Kind) || a.OwnFailure
 }
 
-// isEndpointLoss reports whether a call failed because its endpoint, the node beside
-// it or the connection was lost.
+// isEndpointLoss reports whether a call with this kind of error failed because its
+// endpoint, the node beside it or the connection was lost.
 func isEndpointLoss(k cassiatally.ErrorKind) bool {
 	switch k {
 	case cassiatally.KindOutcomeUnknown, cassiatally.KindIncompleteAnswer, cassiatally.KindUnreachable:
--- a/cassiatally/router/router.go
+++ b/cassiatally/router/router.go
@@ -44,9 +44,9 @@
 	// reachable again is connected within them.
 	deferralPause = 50 * time.Millisecond
 	maxDeferrals  = 4
-	// A refused caller is told to retry within retryAfterFraction of the time to its
-	// deadline, and no earlier than minRetryAfterFraction of that. Retries are spread
-	// over the interval, so that refused callers do not return all at once.
+	// The answer to a refused caller asks for a retry within retryAfterFraction of the
+	// time to its deadline, and no earlier than minRetryAfterFraction of that. Retries are
+	// spread over the interval, so that refused callers do not return all at once.
 	retryAfterFraction    = 1.0 / 3
 	minRetryAfterFraction = 0.3
 )
--- a/cassiatally/router/router_test.go
+++ b/cassiatally/router/router_test.go
@@ -43,7 +43,7 @@
 }
 
 // stubBudget allows all retries. With denied set it allows only those of lost
-// requests, and these only with lost set.
+// requests, and these only with lostAllowed set.
 type stubBudget struct{ denied, lostAllowed bool }
 
 func (b stubBudget) TakeRetry(cassiatally.Instant, cassiatally.ServicePair, cassiatally.Rank, cassiatally.Level) bool {
@@ -308,7 +308,7 @@
 	h := newHarness([]cassiatally.NodeID{"a"}, stubBudget{denied: true}, stubLoads{})
 	to, call := sent(t, h.Submit(start, request(false)))
 	now := start
-	holds := 0
+	deferrals := 0
 	for {
 		actions := h.SendFailed(now, to, call)
 		if len(actions) > 0 {
@@ -317,13 +317,13 @@
 			is.Equal(refused.Outcome, cassiatally.OutcomeNotRun)
 			break
 		}
-		holds++
+		deferrals++
 		at, ok := h.NextWake()
 		is.True(ok && at.Before(start.Add(time.Second)))
 		now = at
 		to, call = sent(t, h.Tick(now))
 	}
-	is.True(holds > 0 && holds < 10)
+	is.True(deferrals > 0 && deferrals < 10)
 }
 
 // Guards against idempotent calls that wait until their deadline for a node that sends
@@ -581,7 +581,7 @@
 	is.Equal(delivered(t, h.HandleAnswer(start, to, lost(call.ID, to))).Kind, cassiatally.KindOutcomeUnknown)
 }
 
-// Guards against refused callers that are told to retry all at the same time, or so
+// Guards against answers that ask refused callers to retry all at the same time, or so
 // late that no time is left.
 func TestRetryAfterIsSpread(t *testing.T) {
 	is := is.New(t)
--- a/cassiatally/runner/main_test.go
+++ b/cassiatally/runner/main_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-// TestMain fixes the seed and the number of checks of the fleet model, so that
-// every run of the tests gives the same result. RUNNER_SEED and RUNNER_CHECKS
-// override them for trials.
+// TestMain fixes the seed and the number of checks of the fleet model, so that every
+// run of the tests checks the same plans. The course of a plan may still differ
+// between runs, since the runner iterates over maps. RUNNER_SEED and RUNNER_CHECKS
+// override both for trials.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	set := func(name, variable, value string) {
--- a/cassiatally/runner/runner.go
+++ b/cassiatally/runner/runner.go
@@ -272,6 +272,8 @@
 	return cassiatally.KindNone, ""
 }
 
+// repeatCall handles a call that has arrived before, or a query for it: it sends the
+// answer again if there is one, and directs a later answer to the sender.
 func (r *Runner) repeatCall(rec *record, from cassiatally.NodeID) []cassiatally.Action {
 	rec.from = from
 	switch {
--- a/cassiatally/runner/stall_test.go
+++ b/cassiatally/runner/stall_test.go
@@ -13,8 +13,8 @@
 
 const stallRunTime = 200 * time.Millisecond
 
-// newStalledHarness returns a runner whose first run took stallRun, followed by n
-// runs that start and do not end. Their calls have the ids from 100 on.
+// newStalledHarness returns a runner whose first run took stallRunTime, followed
+// by n runs that start and do not end. Their calls have the ids from 100 on.
 func newStalledHarness(n int, change func(i int, c *cassiatally.Call)) *harness {
 	h := newHarness(20)
 	now := start.Add(-stallRunTime)
