--- a/cassiatally/assigner/assigner.go
+++ b/cassiatally/assigner/assigner.go
@@ -21,7 +21,7 @@
 // The duty that owns the assigner reads the stream and passes in the records:
 //
 //	a := assigner.New(self, dataCentre, 16)
-//	a.StartAt(batch.First)
+//	a.StartAt(batch.Oldest)
 //	for _, r := range records {
 //		a.Fold(now, r.Offset, r.Expires, r.Assignment)
 //	}
@@ -342,7 +342,7 @@
 // CoveredTo returns the offset up to which the table covers the log: this node has
 // read the records before it, or its peers had when they sent their tables.
 func (a *Assigner) CoveredTo() cassiatally.Offset {
-	var known cassiatally.Offset
+	var covered cassiatally.Offset
 	first := true
 	for i := range a.shards {
 		s := &a.shards[i]
@@ -350,12 +350,12 @@
 			continue
 		}
 		at := max(a.next, s.baseOffset)
-		if first || at < known {
-			known = at
+		if first || at < covered {
+			covered = at
 		}
 		first = false
 	}
-	return known
+	return covered
 }
 
 // Table returns the assignments in force, for a peer that is behind. It omits
--- a/cassiatally/follower/follower.go
+++ b/cassiatally/follower/follower.go
@@ -53,7 +53,7 @@
 	Sheet *cassiatally.SheetRecord
 }
 
-// Batch is a decoded result of a read. First is the oldest offset that the log
+// Batch is a decoded result of a read. Oldest is the oldest offset that the log
 // still has, Next the offset to read from next.
 type Batch struct {
 	First, Next cassiatally.Offset
@@ -70,8 +70,9 @@
 	started    bool
 	startedAt  cassiatally.Instant
 	searchDone bool
-	offers     map[cassiatally.NodeID]cassiatally.SheetRecord
-	inForce    cassiatally.Version
+	// offers has the record that each peer sent during the search.
+	offers  map[cassiatally.NodeID]cassiatally.SheetRecord
+	inForce cassiatally.Version
 
 	followsLog bool
 	reading    bool
--- a/cassiatally/registrar/fleettest/fleet_test.go
+++ b/cassiatally/registrar/fleettest/fleet_test.go
@@ -130,11 +130,11 @@
 	const checkEvery = 5 * step // views of many nodes are slow to build
 	for f.now.Sub(begin) < limit && (f.now.Sub(begin)%checkEvery != 0 || !done()) {
 		f.now = f.now.Add(step)
-		letters := f.inFlight
+		arrived := f.inFlight
 		f.inFlight = nil
-		for _, l := range letters {
-			if f.nodes[l.to] != nil {
-				f.send(l.to, f.nodes[l.to].HandleGossip(f.now, f.refs[l.from], l.message))
+		for _, d := range arrived {
+			if f.nodes[d.to] != nil {
+				f.send(d.to, f.nodes[d.to].HandleGossip(f.now, f.refs[d.from], d.message))
 			}
 		}
 		for i, n := range f.nodes {
--- a/cassiatally/registrar/partners.go
+++ b/cassiatally/registrar/partners.go
@@ -29,11 +29,11 @@
 
 // ringPositionsOf returns the positions of a node on the rings. All nodes compute the
 // same ones.
-func ringPositionsOf(id cassiatally.NodeID) (places [rings]uint64) {
-	for i := range places {
-		places[i] = xxhash.Sum64String("ring" + strconv.Itoa(i) + "\x00" + string(id))
+func ringPositionsOf(id cassiatally.NodeID) (positions [rings]uint64) {
+	for i := range positions {
+		positions[i] = xxhash.Sum64String("ring" + strconv.Itoa(i) + "\x00" + string(id))
 	}
-	return places
+	return positions
 }
 
 // partners returns the members that this node gossips with, sorted by name. Suspects
--- a/cassiatally/registrar/registrar.go
+++ b/cassiatally/registrar/registrar.go
@@ -38,7 +38,7 @@
 	// eagerPeers local peers get a change at once; gossip rounds and queries reach the
 	// few that the push misses.
 	eagerPeers = 3
-	// One forward of a change in eagerForeign also goes to another data centre.
+	// One in eagerForeign forwards of a change also goes to another data centre.
 	eagerForeign = 4
 
 	// In a second a node sends at most 3 round messages within its data centre, 1
@@ -67,7 +67,8 @@
 
 	maxUpdates = 64
 	// updateSends is the number of round messages that repeat a change.
-	updateSends   = 6
+	updateSends = 6
+	// maxSeen bounds the records of which changes and crash reports were already sent.
 	maxSeen       = 1024
 	maxTombstones = 1024
 	// tombstoneFactor is the lifetime of a tombstone in multiples of RemoveAfter. Stale
@@ -126,7 +127,7 @@
 	self          cassiatally.Member
 	shardEpochSum cassiatally.Epoch
 	crashes       []cassiatally.CrashReport
-	// sentCrashes has the crash reports that were already sent at once.
+	// sentCrashes has the crash reports that were already sent outside a round.
 	sentCrashes map[crashID]crashCount
 	nextRound   cassiatally.Instant
 	// started is the time of the first event.
@@ -153,6 +154,7 @@
 
 type entry struct {
 	member cassiatally.Member
+	// grewAt is when the member was last alive, as its growing heartbeat shows.
 	grewAt cassiatally.Instant
 	// loadAt is when the member had the load in the entry.
 	loadAt cassiatally.Instant
@@ -331,8 +333,8 @@
 	return out
 }
 
-// unsentCrashes returns the reports that were not yet sent at once, and records them
-// as sent.
+// unsentCrashes returns the reports that were not yet sent outside a round, and
+// records them as sent.
 func (r *Registrar) unsentCrashes() []cassiatally.CrashReport {
 	var unsent []cassiatally.CrashReport
 	for _, c := range r.crashes {
--- a/cassiatally/sheetfolder/folder.go
+++ b/cassiatally/sheetfolder/folder.go
@@ -5,7 +5,7 @@
 // # Usage
 //
 //	var f sheetfolder.Folder
-//	f.Start(batch.First)
+//	f.Start(batch.Oldest)
 //	for _, r := range batch.Records {
 //		if f.Apply(r.Offset, decoded(r)) {
 //			use(r)
--- a/cassiatally/sheetfolder/folder_test.go
+++ b/cassiatally/sheetfolder/folder_test.go
@@ -31,7 +31,7 @@
 		records  []cassiatally.SheetRecord
 		accepted []bool
 		version  cassiatally.Version
-		based    bool
+		hasBase  bool
 	}{
 		{"nothing read", 0, nil, nil, 0, true},
 		{"in order", 0, []cassiatally.SheetRecord{record(1, 0, false), record(2, 1, false)}, []bool{true, true}, 2, true},
@@ -58,7 +58,7 @@
 			current, ok := f.Current()
 			is.Equal(current.Version, c.version)
 			is.Equal(ok, c.version > 0)
-			is.Equal(f.HasBase(), c.based)
+			is.Equal(f.HasBase(), c.hasBase)
 		})
 	}
 }
@@ -156,7 +156,7 @@
 	is.New(t).NoErr(flag.Set("rapid.checks", "2000"))
 	// A fixed seed gives the same result in every run.
 	is.New(t).NoErr(flag.Set("rapid.seed", "1"))
-	based := 0
+	readsWithBase := 0
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{}
 		w.publish(-1)
@@ -181,10 +181,10 @@
 					t.Fatalf("reader has %q, the whole log %q", got.Sheet, want.Sheet)
 				}
 				if w.first > 0 && f.HasBase() {
-					based++
+					readsWithBase++
 				}
 			}
 		}
 	})
-	is.New(t).True(based > 0)
+	is.New(t).True(readsWithBase > 0)
 }
