--- a/cassiatally/budgeter/budgeter.go
+++ b/cassiatally/budgeter/budgeter.go
@@ -86,8 +86,9 @@
 
 var _ cassiatally.RetryBudget = (*Budgeter)(nil)
 
-// TakeRetry spends a token of the pair. A level below shortageLevel means that the target
-// is already short of capacity: the bucket is emptied and nothing may be retried.
+// TakeRetry spends a token of the pair. A level below shortageLevel means that the
+// target is already short of capacity: the bucket is emptied and nothing may be
+// retried.
 func (b *Budgeter) TakeRetry(now cassiatally.Instant, p cassiatally.ServicePair, _ cassiatally.Rank, level cassiatally.Level) bool {
 	if faultswitch.Off(faultswitch.RetryBudget) {
 		return true
@@ -104,11 +105,11 @@
 	return k.refused.takeToken(b.income(k, now))
 }
 
-// TakeLostRetry spends a token for a run that was interrupted by the loss of an endpoint.
-// There are at most as many such runs as the endpoint had slots, so they may be retried
-// when the target is short of capacity. The bucket holds as many tokens as there were
-// successes in the last second, or lostBurst if that is more, and earns as much as the
-// other one.
+// TakeLostRetry spends a token for a run that was interrupted by the loss of an
+// endpoint. There are at most as many such runs as the endpoint had slots, so they may
+// be retried when the target is short of capacity. The bucket holds as many tokens as
+// there were successes in the last second, or lostBurst if that is more, and earns as
+// much as the other one.
 func (b *Budgeter) TakeLostRetry(now cassiatally.Instant, p cassiatally.ServicePair) bool {
 	if faultswitch.Off(faultswitch.LostRetries) {
 		return false
--- a/cassiatally/budgeter/budgeter_test.go
+++ b/cassiatally/budgeter/budgeter_test.go
@@ -146,7 +146,7 @@
 	is.Equal(a.Remaining(), cassiatally.RetryCount(2))
 }
 
-func BenchmarkTake(b *testing.B) {
+func BenchmarkTakeRetry(b *testing.B) {
 	k := &budgeter.Budgeter{}
 	now := cassiatally.Instant(0)
 	b.ReportAllocs()
--- a/cassiatally/instancetracker/tracker_test.go
+++ b/cassiatally/instancetracker/tracker_test.go
@@ -37,7 +37,7 @@
 		{"late report of an instance that was never current", []cassiatally.InstanceReport{report("b", 6, 1, ready), report("a", 5, 2, ready)}, "b", ready, false},
 		{"same id starts again", []cassiatally.InstanceReport{report("a", 5, 9, draining), report("a", 7, 1, ready)}, "a", ready, true},
 		{"late report of the previous start", []cassiatally.InstanceReport{report("a", 7, 1, ready), report("a", 5, 9, draining)}, "a", ready, false},
-		{"first known from a health check only", []cassiatally.InstanceReport{report("a", 0, 0, ready), report("a", 5, 4, ready)}, "a", ready, true},
+		{"first detected by a health check only", []cassiatally.InstanceReport{report("a", 0, 0, ready), report("a", 5, 4, ready)}, "a", ready, true},
 		{"without service", []cassiatally.InstanceReport{report("a", 5, 1, ready), {Instance: "b", StartedMs: 9, Sequence: 1, Address: "x", State: ready}}, "a", ready, false},
 	}
 	for _, c := range cases {
--- a/cassiatally/interfaces.go
+++ b/cassiatally/interfaces.go
@@ -45,8 +45,8 @@
 
 // Log is the platform's append-only log service.
 type Log interface {
-	// Append returns the offset of the record. After an error the record may or
-	// may not have been written; the caller reads back before it appends again.
+	// Append returns the offset of the record. After an error the record may or may
+	// not have been written; the appender reads the stream back before it appends again.
 	Append(ctx context.Context, s Stream, data []byte) (Offset, error)
 	// Read returns records from the offset on. It blocks up to wait until there is one.
 	Read(ctx context.Context, s Stream, from Offset, wait time.Duration) (Batch, error)
@@ -54,8 +54,9 @@
 
 // Entry is a call in the queue before a backend server.
 type Entry struct {
-	ID       CallID
-	Rank     Rank
+	ID   CallID
+	Rank Rank
+	// Share is the fraction of the capacity that is reserved for the rank.
 	Share    Share
 	Tenant   Tenant
 	Order    Order
@@ -111,6 +112,7 @@
 	Limit() Concurrency
 	// Resize sets the number of slots, the upper bound that the backend server announces.
 	Resize(now Instant, slots Concurrency)
+	// Observe records the end of a run.
 	Observe(now Instant, s RunSample)
 	// TypicalSelfTime returns the smoothed self time of a run.
 	TypicalSelfTime() time.Duration
--- a/cassiatally/message.go
+++ b/cassiatally/message.go
@@ -184,7 +184,8 @@
 
 // Gossip carries changed members, the version in force and crash reports.
 type Gossip struct {
-	From         NodeRef
+	From NodeRef
+	// Reply marks a message whose entries the receiver does not forward, as an answer.
 	Reply        bool
 	Members      []Member
 	SheetVersion Version
@@ -205,7 +206,8 @@
 	Fingerprint Fingerprint
 	Reporter    NodeRef
 	Crashes     uint16
-	Completed   bool
+	// Completed is set when a run has completed at the reporter and no crash followed.
+	Completed bool
 	// Clears counts the completed runs at the reporter that cleared the request of
 	// suspicion. Crashes counts the crashes since the last of them. A report with more
 	// clears, or with as many clears and more crashes, replaces an earlier one.
--- a/cassiatally/quarantiner/quarantiner.go
+++ b/cassiatally/quarantiner/quarantiner.go
@@ -173,8 +173,8 @@
 	return suspects, quarantined
 }
 
-// ReportsOf returns all recorded crash reports on some requests. A node that merges them
-// in this order arrives at the same count: the crashes that a completed run cleared
+// ReportsOf returns all recorded crash reports on some requests. A node that merges
+// them in this order arrives at the same count: the crashes that a completed run cleared
 // come before the report of that run, and later crashes after it.
 func (q *Quarantiner) ReportsOf(now cassiatally.Instant, of []cassiatally.Fingerprint) []cassiatally.CrashReport {
 	var out []cassiatally.CrashReport
--- a/cassiatally/request.go
+++ b/cassiatally/request.go
@@ -4,7 +4,8 @@
 
 // Policy is how a request is treated, as the sheet or its route specifies.
 type Policy struct {
-	Rank       Rank
+	Rank Rank
+	// Share is the fraction of the capacity that is reserved for the rank.
 	Share      Share
 	Target     time.Duration
 	Idempotent bool
--- a/cassiatally/ring/ring_test.go
+++ b/cassiatally/ring/ring_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards against entries that are reordered or lost when the ring wraps around.
-func TestTakeKeepsOrderAcrossWrap(t *testing.T) {
+func TestTakeAllKeepsOrderAcrossWrap(t *testing.T) {
 	is := is.New(t)
 	r := ring.New[int](3, ring.RefuseNewest)
 	next := 0
--- a/cassiatally/sheetparser/yaml.go
+++ b/cassiatally/sheetparser/yaml.go
@@ -177,8 +177,8 @@
 	return scalarText(node)
 }
 
-// scalarText returns the text of a plain or quoted value. Anchors, aliases, tags and
-// collections are refused, so that a small file cannot expand to a large one.
+// scalarText returns the text of a plain or quoted value. Anchors, aliases, tags
+// and collections are refused, so that a small file cannot expand to a large one.
 func scalarText(node ast.Node) (string, bool) {
 	switch n := node.(type) {
 	case nil, *ast.NullNode:
--- a/cassiatally/windowbudgeter/windowbudgeter.go
+++ b/cassiatally/windowbudgeter/windowbudgeter.go
@@ -34,8 +34,8 @@
 	shortageLevel = 0.9
 	// lessUrgentFraction is the fraction of the retries that ranks below the most urgent
 	// one may use. When all endpoints of a service refuse half of what they get, calls of
-	// long chains need so many retries that they would leave none, and are served no
-	// better with them.
+	// long chains need so many retries that they would leave none to the most urgent
+	// rank, and are served no better with them.
 	lessUrgentFraction = 0.5
 )
 
@@ -86,8 +86,8 @@
 	return level >= shortageLevel && b.takeRetry(now, p, fraction)
 }
 
-// TakeLostRetry does the same for a request whose endpoint was lost, also when the service
-// is short of capacity, and may use all retries at any rank.
+// TakeLostRetry does the same for a request whose endpoint was lost, also when the
+// service is short of capacity, and may use all retries at any rank.
 func (b *Budgeter) TakeLostRetry(now cassiatally.Instant, p cassiatally.ServicePair) bool {
 	return b.takeRetry(now, p, 1)
 }
