--- a/cassiatally/admitter/admitter.go
+++ b/cassiatally/admitter/admitter.go
@@ -43,18 +43,18 @@
 	// period could cause every call to be dropped, and the run time would never be
 	// measured again.
 	typicalDecay = 0.8
-	// needMargin divides the typical run time to give the margin for the transfer of
+	// marginDivisor divides the typical run time to give the margin for the transfer of
 	// the answer and for the error of the estimate (1/20 of the run time).
 	// Where run times hardly vary, calls started with just the typical time left, and
 	// their answers came late.
-	needMargin = 20
+	marginDivisor = 20
 	// tokenTime is the time for which a rank can save up its reserved share. With
 	// a longer time, a rank that was idle could delay urgent work.
 	tokenTime = 250 * time.Millisecond
-	// urgentBound multiplies the bound of the queue for the most urgent rank of the
+	// urgentBoundFactor multiplies the bound of the queue for the most urgent rank of the
 	// sheet. When the limiter halves the limit for a probe, urgent calls that can wait
 	// must not be refused; their deadlines still bound the queue.
-	urgentBound = 3
+	urgentBoundFactor = 3
 	// onwardLead is subtracted from the position of an onward call within its rank, the
 	// key of its item. Onward calls are then served before, and refused after, all calls
 	// that come from callers.
@@ -62,10 +62,10 @@
 	// it; in an overload trial, one call in seven that passed the entry was wasted
 	// that way.
 	onwardLead = 1e6
-	// A call goes first in its rank when it has to start within rescueTime to meet its
-	// deadline, if the rank fits the capacity. In a busy period, calls with a high order
-	// value would otherwise wait until their deadline passes.
-	rescueTime = 200 * time.Millisecond
+	// A call goes first in its rank when it has to start within nearDeadlineTime to meet
+	// its deadline, if the rank fits the capacity. In a busy period, calls with a high
+	// order value would otherwise wait until their deadline passes.
+	nearDeadlineTime = 200 * time.Millisecond
 	// minTokenCap and minQuota allow for uneven arrivals at a rank with a small
 	// reserved share.
 	minTokenCap = 4
@@ -183,7 +183,7 @@
 	if a.q.len() == 0 || rate <= 0 || a.meter.free() > a.q.len() {
 		return 0
 	}
-	own := a.ahead(r, key)
+	own := a.entriesAhead(r, key)
 	all := own
 	for q := range r {
 		all += float64(a.q.rankLen(q))
@@ -198,9 +198,9 @@
 	return time.Duration(wait * float64(time.Second))
 }
 
-// ahead estimates how many entries of the rank are served before the key. It
+// entriesAhead estimates how many entries of the rank are served before the key. It
 // assumes that the keys in the queue are evenly distributed.
-func (a *Admitter) ahead(r cassiatally.Rank, key float64) float64 {
+func (a *Admitter) entriesAhead(r cassiatally.Rank, key float64) float64 {
 	n := a.q.rankLen(r)
 	if n == 0 {
 		return 0
@@ -215,8 +215,8 @@
 	return float64(n) * (key - low) / (high - low)
 }
 
-// bound returns the number of entries that may queue.
-func (a *Admitter) bound() int {
+// queueBound returns the number of entries that may queue.
+func (a *Admitter) queueBound() int {
 	target := a.TargetWait
 	if target <= 0 {
 		target = defaultTargetWait
@@ -234,7 +234,7 @@
 // of the queue. Entries within a reserved share don't count towards the bound, so that
 // they take no room from urgent work. Rank 0 and onward calls have a larger bound.
 func (a *Admitter) evictionCandidate() *item {
-	bound := a.bound()
+	bound := a.queueBound()
 	room := bound + a.meter.free()
 	var last *item
 	for i := range a.q.byKeyDescending {
@@ -246,7 +246,7 @@
 		}
 	}
 	if last != nil && (last.rank == 0 || last.entry.Onward) {
-		room += (urgentBound - 1) * bound
+		room += (urgentBoundFactor - 1) * bound
 	}
 	if room >= 0 {
 		return nil
@@ -276,7 +276,7 @@
 			dropped = append(dropped, cassiatally.Dropped{ID: e.ID, Kind: cassiatally.KindExpired})
 			continue
 		}
-		a.ranks[r].spend()
+		a.ranks[r].spendToken()
 		start = append(start, e.ID)
 	}
 	a.meter.recordQueue(now, a.q)
@@ -315,9 +315,9 @@
 	return it.entry.Deadline.Sub(now) < need
 }
 
-// spend removes a token for a call that starts. A call that starts by the order of
-// urgency, without a token, leaves no debt.
-func (s *rankState) spend() { s.tokens = max(s.tokens-1, 0) }
+// spendToken removes a token for a call that starts. A call that starts by the order
+// of urgency, without a token, leaves no debt.
+func (s *rankState) spendToken() { s.tokens = max(s.tokens-1, 0) }
 
 // hasToken reports whether the reserved share of the rank pays for a call. Tokens
 // never go below zero: with a debt of up to a second, onward calls used up the share
@@ -349,7 +349,7 @@
 // capacity, so none of its calls has to be lost.
 func (a *Admitter) nextOfRank(now cassiatally.Instant, r cassiatally.Rank) *item {
 	due := a.q.byDeadline[r].top()
-	if due != nil && a.meter.levels[r] >= 1 && due.entry.Deadline.Sub(now) < a.requiredTime(now, due.entry, r)+rescueTime {
+	if due != nil && a.meter.levels[r] >= 1 && due.entry.Deadline.Sub(now) < a.requiredTime(now, due.entry, r)+nearDeadlineTime {
 		return due
 	}
 	return a.q.byKey[r].top()
@@ -424,7 +424,7 @@
 	if a.Proportion > 0 {
 		a.setProportionalShares()
 	}
-	available := a.meter.updateLevels(a.shares(), a.bound())
+	available := a.meter.updateLevels(a.shares(), a.queueBound())
 	for r := range a.ranks {
 		a.ranks[r].tenants.closeWindow(a.meter.lastWindowSeconds(), available[r])
 	}
@@ -476,7 +476,7 @@
 		return 0
 	}
 	typical := max(a.times.typical(r), a.stalledRunTime(now))
-	typical += typical / needMargin
+	typical += typical / marginDivisor
 	most := max(typical, e.Deadline.Sub(now)/2)
 	return min(typical+requiredDeviations*a.times.deviation(r), most)
 }
--- a/cassiatally/admitter/meter.go
+++ b/cassiatally/admitter/meter.go
@@ -46,9 +46,9 @@
 	minBacklog      = 0.4
 	urgentBacklog   = 1.5
 	urgentShortfall = 0.75
-	// keptBacklogTarget is the fraction of its own places in the queue that a rank
+	// reservedBacklogTarget is the fraction of its own places in the queue that a rank
 	// should fill with calls that only its reserved share pays for.
-	keptBacklogTarget = 0.5
+	reservedBacklogTarget = 0.5
 )
 
 type perRank [cassiatally.MaxRanks]float64
@@ -229,7 +229,7 @@
 		next *= backlogFactor(r, backlog, next)
 		if shares[r] > 0 {
 			own := float64(m.queued[r]) / float64(quota(shares[r], bound))
-			next = max(next, combineTargets(r, short.kept[r], longer.kept[r])*keptBacklogFactor(own))
+			next = max(next, combineTargets(r, short.reserved[r], longer.reserved[r])*reservedBacklogFactor(own))
 		}
 		if sum.arrivals[r] == 0 {
 			next = level
@@ -268,9 +268,9 @@
 type targets struct {
 	// available is the capacity for a rank, in runs per second.
 	available perRank
-	// levels are those at which the demand just fits the available capacity, and kept
-	// are those at which it just fits the reserved share.
-	levels, kept perRank
+	// levels are those at which the demand just fits the available capacity, and
+	// reserved are those at which it just fits the reserved share.
+	levels, reserved perRank
 }
 
 func (m *meter) targets(sum sample, capacity float64, shares perRank) (t targets) {
@@ -283,7 +283,7 @@
 		if rates[r] > 0 {
 			demand := sum.demand(r)
 			t.levels[r] = t.available[r] / demand
-			t.kept[r] = shares[r] * capacity / demand
+			t.reserved[r] = shares[r] * capacity / demand
 		}
 	}
 	return t
@@ -348,13 +348,13 @@
 	return 1 + chanceGain*(chanceTarget-backlog)
 }
 
-// keptBacklogFactor does the same for the level of the reserved share, with the backlog
-// of the rank itself as a fraction of its own places in the queue. More urgent calls in
-// the queue do not delay what the reserved share pays for: with the factor of the whole
-// queue, a flood of the most urgent work took a sixth of the share of rank 1.
-func keptBacklogFactor(own float64) float64 {
+// reservedBacklogFactor does the same for the level of the reserved share, with the
+// backlog of the rank itself as a fraction of its own places in the queue. More urgent
+// calls in the queue do not delay what the reserved share pays for: with the factor of
+// the whole queue, a flood of the most urgent work took a sixth of the share of rank 1.
+func reservedBacklogFactor(own float64) float64 {
 	const gain = 0.2
-	return 1 + gain*(keptBacklogTarget-own)
+	return 1 + gain*(reservedBacklogTarget-own)
 }
 
 // quota returns the number of places in the queue that a reserved share has in
--- a/cassiatally/registrar/merge.go
+++ b/cassiatally/registrar/merge.go
@@ -80,9 +80,9 @@
 	}
 	e, found := m.table[id]
 	switch {
-	case !found || m.now.Sub(e.grewAt) >= m.cfg.SuspectAfter:
+	case !found || m.now.Sub(e.aliveAt) >= m.cfg.SuspectAfter:
 	case query.Ref == e.member.Ref && query.Revision == e.member.Revision:
-		if m.now.Sub(e.grewAt) >= m.cfg.relayPeriod() {
+		if m.now.Sub(e.aliveAt) >= m.cfg.relayPeriod() {
 			return
 		}
 		m.answers = append(m.answers, cassiatally.Member{Ref: query.Ref, Heartbeat: e.member.Heartbeat, Revision: query.Revision, SheetVersion: e.member.SheetVersion})
@@ -124,7 +124,7 @@
 	in.Endpoint.Load.Node = in.Ref.Node
 	m.changes++
 	m.putEntry(&entry{
-		member: in, grewAt: m.now, loadAt: m.now, score: m.score(in.Ref.Node),
+		member: in, aliveAt: m.now, loadAt: m.now, score: m.score(in.Ref.Node),
 		ringPositions: ringPositionsOf(in.Ref.Node), logScore: logScoreOf(m.cfg.DataCentre, in.Ref.Node),
 	})
 	m.foreignAdded = m.foreignAdded || in.DataCentre != m.cfg.DataCentre
@@ -134,10 +134,10 @@
 func (m *merger) update(e *entry, in cassiatally.Member, full bool) {
 	heartbeat := max(e.member.Heartbeat, in.Heartbeat)
 	if in.Heartbeat > e.member.Heartbeat {
-		e.grewAt, e.sent = m.lastAlive(e, in), 0
+		e.aliveAt, e.sent = m.lastAlive(e, in), 0
 		e.member.SheetVersion = max(e.member.SheetVersion, in.SheetVersion)
 		if in.Endpoint.Load != (cassiatally.EndpointLoad{}) {
-			e.loadAt = e.grewAt
+			e.loadAt = e.aliveAt
 			e.member.Endpoint.Load = in.Endpoint.Load
 			e.member.Endpoint.Levels = expandLevels(in.Endpoint.Levels, len(e.member.Endpoint.Levels))
 		}
@@ -161,7 +161,7 @@
 	if in.Ref == m.from || growth >= maxGrowth {
 		return m.now
 	}
-	return min(m.now, e.grewAt.Add(time.Duration(growth)*m.cfg.Interval*5/4))
+	return min(m.now, e.aliveAt.Add(time.Duration(growth)*m.cfg.Interval*5/4))
 }
 
 func (m *merger) mergeHeartbeat(in cassiatally.Member) {
--- a/cassiatally/registrar/registrar.go
+++ b/cassiatally/registrar/registrar.go
@@ -68,9 +68,9 @@
 	maxUpdates = 64
 	// updateSends is the number of round messages that repeat a change.
 	updateSends = 6
-	// maxSeen bounds the records of which changes and crash reports were already sent.
-	maxSeen       = 1024
-	maxTombstones = 1024
+	// maxSentRecords bounds the records of which changes and crash reports were already sent.
+	maxSentRecords = 1024
+	maxTombstones  = 1024
 	// tombstoneFactor is the lifetime of a tombstone in multiples of RemoveAfter. Stale
 	// gossip about a removed member ends once all others have removed it too.
 	tombstoneFactor  = 10
@@ -154,8 +154,8 @@
 
 type entry struct {
 	member cassiatally.Member
-	// grewAt is when the member was last alive, as its growing heartbeat shows.
-	grewAt cassiatally.Instant
+	// aliveAt is when the member was last alive, as its growing heartbeat shows.
+	aliveAt cassiatally.Instant
 	// loadAt is when the member had the load in the entry.
 	loadAt cassiatally.Instant
 	// sent counts the heartbeat entries sent since the heartbeat last grew.
@@ -343,7 +343,7 @@
 		if r.sentCrashes[id] == count {
 			continue
 		}
-		if r.sentCrashes == nil || len(r.sentCrashes) >= maxSeen {
+		if r.sentCrashes == nil || len(r.sentCrashes) >= maxSentRecords {
 			r.sentCrashes = make(map[crashID]crashCount)
 		}
 		r.sentCrashes[id] = count
@@ -393,7 +393,7 @@
 		if !r.suspected(now, e) {
 			c.add(query)
 		}
-		if now.Sub(e.grewAt) >= r.suspectAfter()-directQueryHalfIntervals*r.cfg.Interval/2 && len(direct) < maxDirectQueries {
+		if now.Sub(e.aliveAt) >= r.suspectAfter()-directQueryHalfIntervals*r.cfg.Interval/2 && len(direct) < maxDirectQueries {
 			direct = append(direct, query)
 		}
 	}
@@ -420,7 +420,7 @@
 func (r *Registrar) silentMembers(now cassiatally.Instant) []*entry {
 	var out []*entry
 	for _, e := range r.table {
-		if e.member.DataCentre == r.cfg.DataCentre && now.Sub(e.grewAt) >= r.cfg.SuspectAfter/2 {
+		if e.member.DataCentre == r.cfg.DataCentre && now.Sub(e.aliveAt) >= r.cfg.SuspectAfter/2 {
 			out = append(out, e)
 		}
 	}
@@ -431,7 +431,7 @@
 		return 0
 	}
 	slices.SortFunc(out, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(suspectLast(a), suspectLast(b)), cmp.Compare(a.grewAt, b.grewAt), cmp.Compare(a.member.Ref.Node, b.member.Ref.Node))
+		return cmp.Or(cmp.Compare(suspectLast(a), suspectLast(b)), cmp.Compare(a.aliveAt, b.aliveAt), cmp.Compare(a.member.Ref.Node, b.member.Ref.Node))
 	})
 	return out
 }
@@ -515,12 +515,12 @@
 func (r *Registrar) freshEntries(now cassiatally.Instant) []*entry {
 	var fresh []*entry
 	for _, e := range r.table {
-		if now.Sub(e.grewAt) < r.cfg.relayPeriod() {
+		if now.Sub(e.aliveAt) < r.cfg.relayPeriod() {
 			fresh = append(fresh, e)
 		}
 	}
 	slices.SortFunc(fresh, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(b.grewAt, a.grewAt), cmp.Compare(a.member.Ref.Node, b.member.Ref.Node))
+		return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(b.aliveAt, a.aliveAt), cmp.Compare(a.member.Ref.Node, b.member.Ref.Node))
 	})
 	return fresh
 }
@@ -580,7 +580,7 @@
 		if e.member.DataCentre != r.cfg.DataCentre && !e.member.Leaving && !silent {
 			limit *= time.Duration(factor)
 		}
-		if now.Sub(e.grewAt) >= limit {
+		if now.Sub(e.aliveAt) >= limit {
 			r.remove(now, e)
 		}
 	}
@@ -598,8 +598,8 @@
 	last, foreign := map[cassiatally.DataCentre]cassiatally.Instant{}, 0
 	for _, e := range r.table {
 		dc := e.member.DataCentre
-		if seen, found := last[dc]; !found || seen.Before(e.grewAt) {
-			last[dc] = e.grewAt
+		if seen, found := last[dc]; !found || seen.Before(e.aliveAt) {
+			last[dc] = e.aliveAt
 		}
 		if dc != r.cfg.DataCentre {
 			foreign++
--- a/cassiatally/registrar/updates.go
+++ b/cassiatally/registrar/updates.go
@@ -28,7 +28,7 @@
 
 func (r *updateQueue) add(m cassiatally.Member) {
 	if _, found := r.forwarded[m.Ref]; !found {
-		if len(r.forwardOrder) == maxSeen {
+		if len(r.forwardOrder) == maxSentRecords {
 			delete(r.forwarded, r.forwardOrder[0])
 			r.forwardOrder = r.forwardOrder[1:]
 		}
--- a/cassiatally/registrar/view.go
+++ b/cassiatally/registrar/view.go
@@ -85,7 +85,7 @@
 		Candidates: make([]cassiatally.Candidate, 0, len(r.order)+1),
 		Loads:      make([]Load, 0, len(r.order)+1),
 	}
-	self := &entry{member: r.self, grewAt: now, loadAt: now, logScore: r.logScore}
+	self := &entry{member: r.self, aliveAt: now, loadAt: now, logScore: r.logScore}
 	all := make([]viewEntry, 0, len(r.order)+1)
 	at, _ := r.indexOf(r.cfg.Self.Node)
 	for i, e := range r.order {
@@ -137,9 +137,9 @@
 // suspected only after RemoveAfter.
 func (r *Registrar) suspected(now cassiatally.Instant, e *entry) bool {
 	if e.member.DataCentre == r.cfg.DataCentre {
-		return now.Sub(e.grewAt) >= r.suspectAfter()
+		return now.Sub(e.aliveAt) >= r.suspectAfter()
 	}
-	return now.Sub(e.grewAt) >= r.cfg.RemoveAfter
+	return now.Sub(e.aliveAt) >= r.cfg.RemoveAfter
 }
 
 // suspectAfter grows with the number of members, since the heartbeats of more members
