--- a/cassiatally/action.go
+++ b/cassiatally/action.go
@@ -20,8 +20,8 @@
 // StartRun has the backend server run a call.
 type StartRun struct {
 	Call Call
-	// Waited is the time that the call spent in the queue.
-	Waited time.Duration
+	// QueueWait is the time that the call spent in the queue.
+	QueueWait time.Duration
 }
 
 // AbortRun cancels a run at the backend server.
--- a/cassiatally/balancer/balancer.go
+++ b/cassiatally/balancer/balancer.go
@@ -350,15 +350,15 @@
 	e.unreachedUntil = now.Add(e.unreachedPause)
 }
 
-// Silent records that the node of the endpoint has sent nothing for some time.
-func (b *Balancer) Silent(now cassiatally.Instant, n cassiatally.NodeID) {
+// MarkSilent records that the node of the endpoint has sent nothing for some time.
+func (b *Balancer) MarkSilent(now cassiatally.Instant, n cassiatally.NodeID) {
 	if e := b.nodes[n]; e != nil && !now.Before(e.unreachedUntil) {
 		e.pauseUnreached(now)
 	}
 }
 
-// Responding records that the node of the endpoint is reachable again.
-func (b *Balancer) Responding(n cassiatally.NodeID) {
+// MarkResponding records that the node of the endpoint is reachable again.
+func (b *Balancer) MarkResponding(n cassiatally.NodeID) {
 	if e := b.nodes[n]; e != nil {
 		e.unreachedUntil, e.unreachedPause = 0, 0
 	}
--- a/cassiatally/balancer/balancer_test.go
+++ b/cassiatally/balancer/balancer_test.go
@@ -152,9 +152,9 @@
 func TestSilentNode(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(1, candidates(1, 1))
-	b.Silent(afterSlowStart, "n0")
+	b.MarkSilent(afterSlowStart, "n0")
 	is.Equal(chooseMany(b, afterSlowStart, 20)["n1"], 20)
-	b.Responding("n0")
+	b.MarkResponding("n0")
 	is.Equal(chooseMany(b, afterSlowStart, 20)["n0"], 20)
 }
 
--- a/cassiatally/claimer/outbox.go
+++ b/cassiatally/claimer/outbox.go
@@ -22,7 +22,7 @@
 	// copyKeys bounds the claims in one message of a copy.
 	copyKeys = 64
 	// copyBytes is the size of stored answers at which a message of a copy ends; a
-	// frame holds a little more than one answer of MaxBody.
+	// frame holds a little more than one answer of MaxBodyBytes.
 	copyBytes = 512 << 10
 )
 
--- a/cassiatally/follower/explore_test.go
+++ b/cassiatally/follower/explore_test.go
@@ -150,7 +150,7 @@
 		w.do(n, n.ReadFailed(w.now))
 		return
 	}
-	b := follower.Batch{First: cassiatally.Offset(w.first)}
+	b := follower.Batch{Oldest: cassiatally.Offset(w.first)}
 	next := max(int(from), w.first)
 	for ; next < len(w.log) && len(b.Records) < batchSize; next++ {
 		r := w.log[next]
--- a/cassiatally/follower/follower.go
+++ b/cassiatally/follower/follower.go
@@ -56,8 +56,8 @@
 // Batch is a decoded result of a read. Oldest is the oldest offset that the log
 // still has, Next the offset to read from next.
 type Batch struct {
-	First, Next cassiatally.Offset
-	Records     []Record
+	Oldest, Next cassiatally.Offset
+	Records      []Record
 }
 
 // Follower tracks the sheet in force of one node. It is not safe for concurrent
@@ -134,7 +134,7 @@
 // HandleBatch folds the result of a ReadLog.
 func (f *Follower) HandleBatch(now cassiatally.Instant, b Batch) []cassiatally.Action {
 	f.reading = false
-	f.folder.Start(b.First)
+	f.folder.Start(b.Oldest)
 	for _, r := range b.Records {
 		if r.Sheet == nil {
 			f.folder.Skip(r.Offset)
--- a/cassiatally/follower/follower_test.go
+++ b/cassiatally/follower/follower_test.go
@@ -135,13 +135,13 @@
 	next := sheet(6, "next")
 	winner.Reappend = true
 	read := func(offset cassiatally.Offset, records ...cassiatally.SheetRecord) []cassiatally.Version {
-		b := follower.Batch{First: 40, Next: offset}
+		b := follower.Batch{Oldest: 40, Next: offset}
 		for i := range records {
 			b.Records = append(b.Records, follower.Record{Offset: offset, Expires: time.Hour, Sheet: &records[i]})
 			offset++
 		}
 		b.Next = offset
-		return append(adopted(f.HandleBatch(at(0), b)), adopted(f.HandleBatch(at(0), follower.Batch{First: 40, Next: offset}))...)
+		return append(adopted(f.HandleBatch(at(0), b)), adopted(f.HandleBatch(at(0), follower.Batch{Oldest: 40, Next: offset}))...)
 	}
 	is.Equal(read(40, loser), nil)
 	f.Tick(at(3 * time.Second))
--- a/cassiatally/interfaces.go
+++ b/cassiatally/interfaces.go
@@ -138,10 +138,10 @@
 	Started(now Instant, n NodeID)
 	// Finished records the end of that call.
 	Finished(now Instant, n NodeID, r CallResult)
-	// Silent records that the node of the endpoint has sent nothing for some time.
-	Silent(now Instant, n NodeID)
-	// Responding records that the node of the endpoint sends again.
-	Responding(n NodeID)
+	// MarkSilent records that the node of the endpoint has sent nothing for some time.
+	MarkSilent(now Instant, n NodeID)
+	// MarkResponding records that the node of the endpoint sends again.
+	MarkResponding(n NodeID)
 	// HasEndpoint reports whether the service has an endpoint, in any state.
 	HasEndpoint(s Service) bool
 }
--- a/cassiatally/protocol/codec.go
+++ b/cassiatally/protocol/codec.go
@@ -22,7 +22,7 @@
 	// Version is the version of the protocol that Encode writes.
 	Version = 1
 	// MaxFrameBytes bounds a frame: a body and its envelope.
-	MaxFrameBytes = cassiatally.MaxBody + 64<<10
+	MaxFrameBytes = cassiatally.MaxBodyBytes + 64<<10
 
 	// arrayOfThree is the first byte of a CBOR array of three elements. The version
 	// and the message type follow as one byte each, as CBOR encodes numbers below 24.
--- a/cassiatally/router/answer.go
+++ b/cassiatally/router/answer.go
@@ -219,7 +219,7 @@
 // were sent there move to another endpoint if the retry budget allows it; the others
 // keep waiting, since an answer may still arrive.
 func (r *Router) LinkSilent(now cassiatally.Instant, peer cassiatally.NodeRef) []cassiatally.Action {
-	r.cfg.Balancer.Silent(now, peer.Node)
+	r.cfg.Balancer.MarkSilent(now, peer.Node)
 	var actions []cassiatally.Action
 	for _, p := range r.attemptsTo(peer.Node) {
 		if !p.isClaim && p.req.Policy.Idempotent && r.hasSendsLeft(p, 1) && r.hasOtherEndpoint(now, p) && r.spendRetry(now, p) {
--- a/cassiatally/router/router_test.go
+++ b/cassiatally/router/router_test.go
@@ -18,11 +18,11 @@
 // listBalancer chooses the first node that is not in the list of nodes to avoid.
 type listBalancer struct{ nodes, silent []cassiatally.NodeID }
 
-func (b *listBalancer) Silent(_ cassiatally.Instant, n cassiatally.NodeID) {
+func (b *listBalancer) MarkSilent(_ cassiatally.Instant, n cassiatally.NodeID) {
 	b.silent = append(b.silent, n)
 }
 
-func (b *listBalancer) Responding(cassiatally.NodeID) {}
+func (b *listBalancer) MarkResponding(cassiatally.NodeID) {}
 
 func (b *listBalancer) Update(cassiatally.Instant, []cassiatally.Candidate)                      {}
 func (b *listBalancer) Started(cassiatally.Instant, cassiatally.NodeID)                          {}
--- a/cassiatally/runner/runner.go
+++ b/cassiatally/runner/runner.go
@@ -192,7 +192,7 @@
 // is not run again.
 func (r *Runner) HandleCall(now cassiatally.Instant, from cassiatally.NodeID, c cassiatally.Call) []cassiatally.Action {
 	if rec, ok := r.records[c.ID]; ok {
-		return r.repeatCall(rec, from)
+		return r.resendAnswer(rec, from)
 	}
 	if kind, detail := r.refusal(now, c); kind != cassiatally.KindNone {
 		r.countShed(c.Rank, kind)
@@ -272,9 +272,9 @@
 	return cassiatally.KindNone, ""
 }
 
-// repeatCall handles a call that has arrived before, or a query for it: it sends the
+// resendAnswer handles a call that has arrived before, or a query for it: it sends the
 // answer again if there is one, and directs a later answer to the sender.
-func (r *Runner) repeatCall(rec *record, from cassiatally.NodeID) []cassiatally.Action {
+func (r *Runner) resendAnswer(rec *record, from cassiatally.NodeID) []cassiatally.Action {
 	rec.from = from
 	switch {
 	case rec.answerWithheld:
@@ -317,7 +317,7 @@
 		return []cassiatally.Action{cassiatally.Send{To: from, Message: a}}
 	}
 	if rec, ok := r.records[q.ID]; ok {
-		return r.repeatCall(rec, from)
+		return r.resendAnswer(rec, from)
 	}
 	rec := &record{call: cassiatally.Call{ID: q.ID}, from: from, phase: phaseVoid, ended: now}
 	rec.answer = notRun(q.ID, cassiatally.KindUnreachable, "the call never arrived")
@@ -402,7 +402,7 @@
 	rec.concurrency = cassiatally.Concurrency(r.running)
 	call := rec.call
 	call.Remaining = rec.deadline.Sub(now)
-	return append(actions, cassiatally.StartRun{Call: call, Waited: now.Sub(rec.queued)})
+	return append(actions, cassiatally.StartRun{Call: call, QueueWait: now.Sub(rec.queued)})
 }
 
 func (r *Runner) refuseDropped(actions []cassiatally.Action, dropped []cassiatally.Dropped) []cassiatally.Action {
--- a/cassiatally/settingsloader/schema.go
+++ b/cassiatally/settingsloader/schema.go
@@ -69,7 +69,7 @@
 	optionalKey("control", func(s *Settings) *Control { return &s.Control }, oneOf(ControlAdaptive, ControlFixed, ControlOff)),
 	optionalKey("fixed.limit", func(s *Settings) *cassiatally.Concurrency { return &s.Fixed.Limit }, count[cassiatally.Concurrency](0, maxCount)),
 	optionalKey("fixed.queue", func(s *Settings) *int { return &s.Fixed.Queue }, count[int](0, maxCount)),
-	optionalKey("requests.max_body", func(s *Settings) *ByteSize { return &s.Requests.MaxBody }, byteSize(1, cassiatally.MaxBody)),
+	optionalKey("requests.max_body", func(s *Settings) *ByteSize { return &s.Requests.MaxBody }, byteSize(1, cassiatally.MaxBodyBytes)),
 	optionalKey("requests.default_timeout", func(s *Settings) *time.Duration { return &s.Requests.DefaultTimeout }, duration()),
 	optionalKey("requests.max_timeout", func(s *Settings) *time.Duration { return &s.Requests.MaxTimeout }, duration()),
 	optionalKey("requests.max_in_flight", func(s *Settings) *int { return &s.Requests.MaxInFlight }, count[int](1, maxCount)),
--- a/cassiatally/settingsloader/settings.go
+++ b/cassiatally/settingsloader/settings.go
@@ -140,7 +140,7 @@
 		Control: ControlAdaptive,
 		Fixed:   Fixed{Queue: 1000},
 		Requests: Requests{
-			MaxBody: cassiatally.MaxBody, DefaultTimeout: 5 * time.Second,
+			MaxBody: cassiatally.MaxBodyBytes, DefaultTimeout: 5 * time.Second,
 			MaxTimeout: time.Minute, MaxInFlight: 4096,
 		},
 		Retries:  Retries{PerRoot: 2, Ratio: 0.1, MinPerSecond: 1},
--- a/cassiatally/units.go
+++ b/cassiatally/units.go
@@ -41,6 +41,6 @@
 	MaxRanks = 8
 	// MaxDepth bounds a call chain. A system of the target size has chains of 17.
 	MaxDepth Depth = 32
-	// MaxBody bounds the body of a request or an answer, in bytes.
-	MaxBody = 1 << 20
+	// MaxBodyBytes bounds the body of a request or an answer.
+	MaxBodyBytes = 1 << 20
 )
--- a/node/backendclient/client.go
+++ b/node/backendclient/client.go
@@ -81,7 +81,7 @@
 		return failure(ctx, err)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, cassiatally.MaxBody+1))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, cassiatally.MaxBodyBytes+1))
 	if err != nil && !faultswitch.Off(faultswitch.AnswerLength) {
 		return failure(ctx, err)
 	}
@@ -102,7 +102,7 @@
 }
 
 func resultOf(resp *http.Response, data []byte) cassiatally.RunResult {
-	if len(data) > cassiatally.MaxBody {
+	if len(data) > cassiatally.MaxBodyBytes {
 		return cassiatally.RunResult{Kind: cassiatally.ResultAnswered, Status: http.StatusBadGateway, Detail: "the answer is larger than 1 MiB"}
 	}
 	if resp.Header.Get(headers.Outcome) == cassiatally.OutcomeNotRun.String() {
--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -239,7 +239,9 @@
 	d.carryOut(now, d.Router.LinkSilent(now, e.peer))
 }
 
-func (e heardEvent) apply(d *Dispatcher, _ cassiatally.Instant) { d.Balancer.Responding(e.peer.Node) }
+func (e heardEvent) apply(d *Dispatcher, _ cassiatally.Instant) {
+	d.Balancer.MarkResponding(e.peer.Node)
+}
 
 func (e failedEvent) apply(d *Dispatcher, now cassiatally.Instant) {
 	d.carryOut(now, d.Router.SendFailed(now, e.to, e.m))
--- a/node/executor/executor.go
+++ b/node/executor/executor.go
@@ -410,7 +410,7 @@
 				x.Logger.Debug("answer not sent", "to", a.To, "error", err)
 			}
 		case cassiatally.StartRun:
-			x.Waits(a.Call.Rank, a.Waited)
+			x.Waits(a.Call.Rank, a.QueueWait)
 			x.start(now, a.Call)
 		case cassiatally.AbortRun:
 			if cancel, ok := x.cancels[a.Call]; ok {
--- a/node/sheetkeeper/sheetkeeper.go
+++ b/node/sheetkeeper/sheetkeeper.go
@@ -183,7 +183,7 @@
 }
 
 func (k *Keeper) decode(b cassiatally.Batch) follower.Batch {
-	out := follower.Batch{First: b.Oldest, Next: b.Next}
+	out := follower.Batch{Oldest: b.Oldest, Next: b.Next}
 	for _, r := range b.Records {
 		entry := follower.Record{Offset: r.Offset, Expires: r.Expires}
 		m, err := k.Codec.Decode(r.Data)
--- a/operator/command/call/call.go
+++ b/operator/command/call/call.go
@@ -136,8 +136,8 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "read the body; check the name of the file")
 	}
-	if len(data) > cassiatally.MaxBody {
-		return nil, cassiatally.NewError(cassiatally.KindTooLarge, "%s has %d bytes; a body may have %d", o.File, len(data), cassiatally.MaxBody)
+	if len(data) > cassiatally.MaxBodyBytes {
+		return nil, cassiatally.NewError(cassiatally.KindTooLarge, "%s has %d bytes; a body may have %d", o.File, len(data), cassiatally.MaxBodyBytes)
 	}
 	return data, nil
 }
--- a/operator/nodeclient/client.go
+++ b/operator/nodeclient/client.go
@@ -109,7 +109,7 @@
 		return "", err
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, cassiatally.MaxBody))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, cassiatally.MaxBodyBytes))
 	if err != nil {
 		return "", errors.Wrapf(err, "read the key from %s", callers)
 	}
@@ -177,7 +177,7 @@
 // the body is cut off or does not match its digest.
 func read(resp *http.Response) (Answer, error) {
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, cassiatally.MaxBody+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, cassiatally.MaxBodyBytes+1))
 	if err != nil {
 		return Answer{}, cassiatally.NewError(cassiatally.KindIncompleteAnswer, "the answer was cut off after %d bytes: %v", len(body), err)
 	}
--- a/standin/caller/wire.go
+++ b/standin/caller/wire.go
@@ -57,7 +57,7 @@
 		return lost(err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, cassiatally.MaxBody+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, cassiatally.MaxBodyBytes+1))
 	wait(ctx, c.Latency)
 	if ctx.Err() != nil {
 		return result{outcome: core.ToldUnknown, errorKind: errorTimeout}
--- a/standin/childcaller/childcaller.go
+++ b/standin/childcaller/childcaller.go
@@ -69,7 +69,7 @@
 		return nil, errors.Wrapf(err, "calling %s/%s", call.Service, call.Kind)
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, cassiatally.MaxBody))
+	answer, err := io.ReadAll(io.LimitReader(resp.Body, cassiatally.MaxBodyBytes))
 	if err != nil {
 		return nil, errors.Wrapf(err, "reading the answer of %s/%s", call.Service, call.Kind)
 	}
--- a/standin/loadplan/loadplan.go
+++ b/standin/loadplan/loadplan.go
@@ -201,8 +201,8 @@
 	if c.Resend.Policy == ResendNone && c.Resend.Count > 0 {
 		problems = append(problems, errors.Newf("class %q has a resend count without a policy", c.Name))
 	}
-	if c.BodySize < 0 || c.BodySize > cassiatally.MaxBody {
-		problems = append(problems, errors.Newf("class %q has a body_size that is not between 0 and %d", c.Name, cassiatally.MaxBody))
+	if c.BodySize < 0 || c.BodySize > cassiatally.MaxBodyBytes {
+		problems = append(problems, errors.Newf("class %q has a body_size that is not between 0 and %d", c.Name, cassiatally.MaxBodyBytes))
 	}
 	return problems
 }
