--- a/cassiatally/admitter/admitter.go
+++ b/cassiatally/admitter/admitter.go
@@ -70,11 +70,11 @@
 	// reserved share.
 	minTokenCap = 4
 	minQuota    = 4
-	// A backend server is taken to be stalled when at least stallRuns runs are in
-	// flight and none has ended for stallFactor typical run times. With exponential
-	// run times the probability of that by chance is e^-16.
-	stallRuns   = 8
-	stallFactor = 2
+	// A backend server counts as stalled when at least minStalledRuns runs are in flight
+	// and none has ended for stallFactor typical run times. With exponential run times
+	// the probability of that by chance is e^-16.
+	minStalledRuns = 8
+	stallFactor    = 2
 )
 
 // Admitter is the queue in front of one backend server.
@@ -113,7 +113,7 @@
 
 // Offer queues the entry. It returns the entries refused because of it.
 func (a *Admitter) Offer(now cassiatally.Instant, e cassiatally.Entry) []cassiatally.Dropped {
-	a.prepare(now)
+	a.initOnce(now)
 	r := min(e.Rank, cassiatally.MaxRanks-1)
 	s := &a.ranks[r]
 	if a.Proportion == 0 {
@@ -152,7 +152,7 @@
 	return []cassiatally.Dropped{{ID: refused.ID, Kind: cassiatally.KindOverloaded}}
 }
 
-func (a *Admitter) prepare(now cassiatally.Instant) {
+func (a *Admitter) initOnce(now cassiatally.Instant) {
 	if a.q == nil {
 		a.q = newQueue()
 		a.meter.begin(now)
@@ -262,8 +262,8 @@
 // Next returns up to free entries to start now, and the entries dropped because
 // their deadlines cannot be met.
 func (a *Admitter) Next(now cassiatally.Instant, free int) (start []cassiatally.CallID, dropped []cassiatally.Dropped) {
-	a.prepare(now)
-	dropped = a.dropDue(now)
+	a.initOnce(now)
+	dropped = a.dropTooLate(now)
 	for len(start) < free {
 		it := a.nextItem(now)
 		if it == nil {
@@ -287,7 +287,7 @@
 	return start, dropped
 }
 
-func (a *Admitter) dropDue(now cassiatally.Instant) (dropped []cassiatally.Dropped) {
+func (a *Admitter) dropTooLate(now cassiatally.Instant) (dropped []cassiatally.Dropped) {
 	for r := range a.q.byDeadline {
 		for {
 			it := a.q.byDeadline[r].top()
@@ -372,7 +372,7 @@
 // since the last run ended. It is 0 while the backend server isn't stalled.
 func (a *Admitter) stalledRunTime(now cassiatally.Instant) time.Duration {
 	passed := now.Sub(a.lastProgress)
-	if a.meter.inFlight < stallRuns || passed < stallFactor*a.times.overall {
+	if a.meter.inFlight < minStalledRuns || passed < stallFactor*a.times.overall {
 		return 0
 	}
 	return 2 * passed
@@ -397,7 +397,7 @@
 }
 
 func (a *Admitter) runEnded(now cassiatally.Instant) {
-	a.prepare(now)
+	a.initOnce(now)
 	a.meter.recordEnd(now)
 	for i := range a.ranks {
 		s := &a.ranks[i]
@@ -410,7 +410,7 @@
 
 // Tick closes the window and updates the levels.
 func (a *Admitter) Tick(now cassiatally.Instant, limit cassiatally.Concurrency) {
-	a.prepare(now)
+	a.initOnce(now)
 	if !a.meter.closeWindow(now, limit, a.times.overall) {
 		return
 	}
--- a/cassiatally/fixedlimiter/fixedlimiter.go
+++ b/cassiatally/fixedlimiter/fixedlimiter.go
@@ -17,8 +17,8 @@
 const (
 	// Unlimited is the value of Limit when no limit applies.
 	Unlimited = cassiatally.Concurrency(math.MaxInt32)
-	// ewmaWeight is the weight of one sample in the typical self time, an EWMA.
-	ewmaWeight = 0.1
+	// typicalWeight is the weight of one run in the typical self time, an EWMA.
+	typicalWeight = 0.1
 )
 
 // Limiter has a fixed limit. The zero value has no limit.
@@ -58,7 +58,7 @@
 		l.typical = s.SelfTime
 		return
 	}
-	l.typical += time.Duration(ewmaWeight * float64(s.SelfTime-l.typical))
+	l.typical += time.Duration(typicalWeight * float64(s.SelfTime-l.typical))
 }
 
 // TypicalSelfTime returns the smoothed self time.
--- a/cassiatally/limiter/limiter.go
+++ b/cassiatally/limiter/limiter.go
@@ -102,7 +102,8 @@
 	// measured for the first time.
 	firstProbeDelay = 2 * time.Second
 	// floorWeight is the weight of a window whose mean is below the floor.
-	floorWeight   = 0.25
+	floorWeight = 0.25
+	// typicalWeight is the weight of one run in the typical self time, an EWMA.
 	typicalWeight = 0.05
 	// recoveryRuns is the lowest number of runs near the normal floor that show that
 	// the backend server has its normal speed again.
--- a/cassiatally/sheetfolder/folder.go
+++ b/cassiatally/sheetfolder/folder.go
@@ -53,9 +53,9 @@
 
 // Start sets the oldest offset that the log still has. It has to be called for
 // each batch, before its records are applied.
-func (f *Folder) Start(first cassiatally.Offset) {
-	f.advanceTo(first)
-	if first > f.minVersionAt {
+func (f *Folder) Start(oldest cassiatally.Offset) {
+	f.advanceTo(oldest)
+	if oldest > f.minVersionAt {
 		// An invalid record, based on a version that was never accepted, must not
 		// keep the folder without a base after the log has dropped it.
 		f.minVersion = 0
