--- a/cassiatally/admitter/admitter.go
+++ b/cassiatally/admitter/admitter.go
@@ -2,7 +2,7 @@
 // and which are refused.
 //
 // An Admitter queues calls by rank. Free capacity goes first to ranks that use
-// less than their kept share, and then to the ranks in strict order of urgency.
+// less than their reserved share, and then to the ranks in strict order of urgency.
 // Within a rank the call with the lowest order value starts first, so that every
 // service of a chain serves the same call trees. Calls that cannot finish before
 // their deadline are dropped before work is spent on them. The queue is bounded by
@@ -43,45 +43,46 @@
 	// period could cause every call to be dropped, and the run time would never be
 	// measured again.
 	typicalDecay = 0.8
-	// needMargin is the divisor of the typical run time that gives the margin for the
-	// transfer of the answer and for the error of the estimate (1/20 of the run time).
+	// marginDivisor divides the typical run time to give the margin for the transfer of
+	// the answer and for the error of the estimate (1/20 of the run time).
 	// Where run times hardly vary, calls started with just the typical time left, and
 	// their answers came late.
-	needMargin = 20
-	// tokenTime is the time for which a rank can save up its kept share. With a
-	// longer time, a rank that was idle could delay urgent work.
+	marginDivisor = 20
+	// tokenTime is the time for which a rank can save up its reserved share. With
+	// a longer time, a rank that was idle could delay urgent work.
 	tokenTime = 250 * time.Millisecond
-	// urgentBound multiplies the bound of the queue for the most urgent rank of the
+	// urgentBoundFactor multiplies the bound of the queue for the most urgent rank of the
 	// sheet. When the limiter halves the limit for a probe, urgent calls that can wait
 	// must not be refused; their deadlines still bound the queue.
-	urgentBound = 3
-	// onwardLead is subtracted from the key of an onward call, so that onward calls
-	// are served before, and refused after, all calls that come from callers.
+	urgentBoundFactor = 3
+	// onwardLead is subtracted from the position of an onward call within its rank, the
+	// key of its item. Onward calls are then served before, and refused after, all calls
+	// that come from callers.
 	// Refusing an onward call wastes the work that upstream services have done for
 	// it; in an overload trial, one call in seven that passed the entry was wasted
 	// that way.
 	onwardLead = 1e6
-	// rescueTime is the time before its latest possible start at which a call goes
-	// first, if its rank fits the capacity. In a busy period, calls with a high order
-	// value would otherwise wait until their deadline passes.
-	rescueTime = 200 * time.Millisecond
-	// minTokenCap and minQuota allow for uneven arrivals at a rank with a small kept
-	// share.
+	// A call goes first in its rank when it has to start within nearDeadlineTime to meet
+	// its deadline, if the rank fits the capacity. In a busy period, calls with a high
+	// order value would otherwise wait until their deadline passes.
+	nearDeadlineTime = 200 * time.Millisecond
+	// minTokenCap and minQuota allow for uneven arrivals at a rank with a small
+	// reserved share.
 	minTokenCap = 4
 	minQuota    = 4
-	// A backend server is taken to be stalled when at least stallRuns runs are in
-	// flight and none has ended for stallFactor typical run times. With exponential
-	// run times the probability of that by chance is e^-16.
-	stallRuns   = 8
-	stallFactor = 2
+	// A backend server counts as stalled when at least minStalledRuns runs are in flight
+	// and none has ended for stallFactor typical run times. With exponential run times
+	// the probability of that by chance is e^-16.
+	minStalledRuns = 8
+	stallFactor    = 2
 )
 
 // Admitter is the queue in front of one backend server.
 type Admitter struct {
 	// TargetWait bounds the queue by the time it takes to serve it; 0 means 100 ms.
 	TargetWait time.Duration
-	// Proportion, when above 0, replaces the kept shares of entries: each rank but the
-	// most urgent keeps this fraction of what it would get if capacity were divided in
+	// Proportion, when above 0, replaces the reserved shares of entries: each rank but
+	// the most urgent keeps this fraction of what it would get if capacity were divided in
 	// proportion to demand. Less urgent work is then served a little less, instead of
 	// not at all.
 	Proportion float64
@@ -112,7 +113,7 @@
 
 // Offer queues the entry. It returns the entries refused because of it.
 func (a *Admitter) Offer(now cassiatally.Instant, e cassiatally.Entry) []cassiatally.Dropped {
-	a.prepare(now)
+	a.initOnce(now)
 	r := min(e.Rank, cassiatally.MaxRanks-1)
 	s := &a.ranks[r]
 	if a.Proportion == 0 {
@@ -151,7 +152,7 @@
 	return []cassiatally.Dropped{{ID: refused.ID, Kind: cassiatally.KindOverloaded}}
 }
 
-func (a *Admitter) prepare(now cassiatally.Instant) {
+func (a *Admitter) initOnce(now cassiatally.Instant) {
 	if a.q == nil {
 		a.q = newQueue()
 		a.meter.begin(now)
@@ -182,7 +183,7 @@
 	if a.q.len() == 0 || rate <= 0 || a.meter.free() > a.q.len() {
 		return 0
 	}
-	own := a.ahead(r, key)
+	own := a.entriesAhead(r, key)
 	all := own
 	for q := range r {
 		all += float64(a.q.rankLen(q))
@@ -197,9 +198,9 @@
 	return time.Duration(wait * float64(time.Second))
 }
 
-// ahead estimates how many entries of the rank are served before the key. It
+// entriesAhead estimates how many entries of the rank are served before the key. It
 // assumes that the keys in the queue are evenly distributed.
-func (a *Admitter) ahead(r cassiatally.Rank, key float64) float64 {
+func (a *Admitter) entriesAhead(r cassiatally.Rank, key float64) float64 {
 	n := a.q.rankLen(r)
 	if n == 0 {
 		return 0
@@ -214,8 +215,8 @@
 	return float64(n) * (key - low) / (high - low)
 }
 
-// bound returns the number of entries that may queue.
-func (a *Admitter) bound() int {
+// queueBound returns the number of entries that may queue.
+func (a *Admitter) queueBound() int {
 	target := a.TargetWait
 	if target <= 0 {
 		target = defaultTargetWait
@@ -229,23 +230,23 @@
 
 // evictionCandidate returns the entry to refuse when the queue is too long, and nil
 // when it is not. That is the entry that would be served last: the one with the
-// highest key, of the least urgent rank that has more entries than its kept share of
-// the queue. Entries within a kept share don't count towards the bound, so that they
-// take no room from urgent work. Rank 0 and onward calls have a larger bound.
+// highest key, of the least urgent rank that has more entries than its reserved share
+// of the queue. Entries within a reserved share don't count towards the bound, so that
+// they take no room from urgent work. Rank 0 and onward calls have a larger bound.
 func (a *Admitter) evictionCandidate() *item {
-	bound := a.bound()
+	bound := a.queueBound()
 	room := bound + a.meter.free()
 	var last *item
 	for i := range a.q.byKeyDescending {
 		r := cassiatally.Rank(i)
-		n, kept := a.q.rankLen(r), a.quota(r, bound)
-		room -= max(n-kept, 0)
-		if n > kept {
+		n, reserved := a.q.rankLen(r), a.quota(r, bound)
+		room -= max(n-reserved, 0)
+		if n > reserved {
 			last = a.q.byKeyDescending[r].top()
 		}
 	}
 	if last != nil && (last.rank == 0 || last.entry.Onward) {
-		room += (urgentBound - 1) * bound
+		room += (urgentBoundFactor - 1) * bound
 	}
 	if room >= 0 {
 		return nil
@@ -253,7 +254,7 @@
 	return last
 }
 
-// quota returns the number of entries that the kept share of a rank may hold.
+// quota returns the number of entries that the reserved share of a rank may hold.
 func (a *Admitter) quota(r cassiatally.Rank, bound int) int {
 	return quota(float64(a.ranks[r].share), bound)
 }
@@ -261,8 +262,8 @@
 // Next returns up to free entries to start now, and the entries dropped because
 // their deadlines cannot be met.
 func (a *Admitter) Next(now cassiatally.Instant, free int) (start []cassiatally.CallID, dropped []cassiatally.Dropped) {
-	a.prepare(now)
-	dropped = a.dropDue(now)
+	a.initOnce(now)
+	dropped = a.dropTooLate(now)
 	for len(start) < free {
 		it := a.nextItem(now)
 		if it == nil {
@@ -275,7 +276,7 @@
 			dropped = append(dropped, cassiatally.Dropped{ID: e.ID, Kind: cassiatally.KindExpired})
 			continue
 		}
-		a.ranks[r].spend()
+		a.ranks[r].spendToken()
 		start = append(start, e.ID)
 	}
 	a.meter.recordQueue(now, a.q)
@@ -286,7 +287,7 @@
 	return start, dropped
 }
 
-func (a *Admitter) dropDue(now cassiatally.Instant) (dropped []cassiatally.Dropped) {
+func (a *Admitter) dropTooLate(now cassiatally.Instant) (dropped []cassiatally.Dropped) {
 	for r := range a.q.byDeadline {
 		for {
 			it := a.q.byDeadline[r].top()
@@ -314,14 +315,14 @@
 	return it.entry.Deadline.Sub(now) < need
 }
 
-// spend takes a token for a call that starts. A call that starts by the order of
-// urgency, without a token, leaves no debt.
-func (s *rankState) spend() { s.tokens = max(s.tokens-1, 0) }
+// spendToken removes a token for a call that starts. A call that starts by the order
+// of urgency, without a token, leaves no debt.
+func (s *rankState) spendToken() { s.tokens = max(s.tokens-1, 0) }
 
-// hasToken reports whether the kept share of the rank pays for a call. Tokens never
-// go below zero: with a debt of up to a second, onward calls used up the share at the
-// start of a flood, and calls of callers then waited until the debt was paid and were
-// too late.
+// hasToken reports whether the reserved share of the rank pays for a call. Tokens
+// never go below zero: with a debt of up to a second, onward calls used up the share
+// at the start of a flood, and calls of callers then waited until the debt was paid and
+// were too late.
 func (s *rankState) hasToken() bool { return s.share > 0 && s.tokens >= 1 }
 
 // nextItem returns the entry to start next: from the most urgent rank that has a
@@ -348,7 +349,7 @@
 // capacity, so none of its calls has to be lost.
 func (a *Admitter) nextOfRank(now cassiatally.Instant, r cassiatally.Rank) *item {
 	due := a.q.byDeadline[r].top()
-	if due != nil && a.meter.levels[r] >= 1 && due.entry.Deadline.Sub(now) < a.requiredTime(now, due.entry, r)+rescueTime {
+	if due != nil && a.meter.levels[r] >= 1 && due.entry.Deadline.Sub(now) < a.requiredTime(now, due.entry, r)+nearDeadlineTime {
 		return due
 	}
 	return a.q.byKey[r].top()
@@ -371,14 +372,14 @@
 // since the last run ended. It is 0 while the backend server isn't stalled.
 func (a *Admitter) stalledRunTime(now cassiatally.Instant) time.Duration {
 	passed := now.Sub(a.lastProgress)
-	if a.meter.inFlight < stallRuns || passed < stallFactor*a.times.overall {
+	if a.meter.inFlight < minStalledRuns || passed < stallFactor*a.times.overall {
 		return 0
 	}
 	return 2 * passed
 }
 
-// Done records the end of a run. Each end adds tokens to the kept shares, so a share
-// is a fraction of what the backend server completes, whatever its speed.
+// Done records the end of a run. Each end adds tokens to the reserved shares, so a
+// share is a fraction of what the backend server completes, whatever its speed.
 func (a *Admitter) Done(now cassiatally.Instant, r cassiatally.Rank, busy time.Duration) {
 	r = min(r, cassiatally.MaxRanks-1)
 	a.times.recordEnd(r, busy, a.ranks[r].probes.started)
@@ -387,8 +388,8 @@
 	a.runEnded(now)
 }
 
-// CutOff records the end of a run that was cut off before the backend server finished
-// it.
+// CutOff records the end of a run that was cut off before the backend server
+// finished it.
 func (a *Admitter) CutOff(now cassiatally.Instant, r cassiatally.Rank, busy time.Duration) {
 	r = min(r, cassiatally.MaxRanks-1)
 	a.times.recordCut(r, busy)
@@ -396,7 +397,7 @@
 }
 
 func (a *Admitter) runEnded(now cassiatally.Instant) {
-	a.prepare(now)
+	a.initOnce(now)
 	a.meter.recordEnd(now)
 	for i := range a.ranks {
 		s := &a.ranks[i]
@@ -409,7 +410,7 @@
 
 // Tick closes the window and updates the levels.
 func (a *Admitter) Tick(now cassiatally.Instant, limit cassiatally.Concurrency) {
-	a.prepare(now)
+	a.initOnce(now)
 	if !a.meter.closeWindow(now, limit, a.times.overall) {
 		return
 	}
@@ -423,15 +424,15 @@
 	if a.Proportion > 0 {
 		a.setProportionalShares()
 	}
-	available := a.meter.updateLevels(a.shares(), a.bound())
+	available := a.meter.updateLevels(a.shares(), a.queueBound())
 	for r := range a.ranks {
 		a.ranks[r].tenants.closeWindow(a.meter.lastWindowSeconds(), available[r])
 	}
 }
 
-// setProportionalShares sets the kept shares from the demand of each rank. The most
-// urgent rank with demand keeps its whole proportion, so that it goes before the kept
-// shares of the others.
+// setProportionalShares sets the reserved shares from the demand of each rank. The
+// most urgent rank with demand keeps its whole proportion, so that it goes before the
+// reserved shares of the others.
 func (a *Admitter) setProportionalShares() {
 	demands := a.meter.demands()
 	total := 0.0
@@ -475,7 +476,7 @@
 		return 0
 	}
 	typical := max(a.times.typical(r), a.stalledRunTime(now))
-	typical += typical / needMargin
+	typical += typical / marginDivisor
 	most := max(typical, e.Deadline.Sub(now)/2)
 	return min(typical+requiredDeviations*a.times.deviation(r), most)
 }
--- a/cassiatally/balancer/balancer.go
+++ b/cassiatally/balancer/balancer.go
@@ -32,9 +32,10 @@
 	defaultConnectionShare = 0.25
 	defaultSlowStart       = 5 * time.Second
 	defaultExclusion       = 5 * time.Second
-	// minUnreachedPause is how long an endpoint that was not reached is chosen only
-	// when there is no other one. Membership takes 3 s to 10 s to suspect its node, and
-	// with fewer than three endpoints a service excludes none.
+	// After a call that did not reach an endpoint, the endpoint is chosen only when
+	// there is no other one, at first for minUnreachedPause. Membership takes 3 s to
+	// 10 s to suspect its node, and with fewer than three endpoints a service excludes
+	// none.
 	minUnreachedPause = time.Second
 	// maxUnreachedPause bounds the doubling of the pause while the endpoint stays out of
 	// reach, as in a data centre that is cut off.
@@ -349,15 +350,15 @@
 	e.unreachedUntil = now.Add(e.unreachedPause)
 }
 
-// Silent records that the node of the endpoint has sent nothing for some time.
-func (b *Balancer) Silent(now cassiatally.Instant, n cassiatally.NodeID) {
+// MarkSilent records that the node of the endpoint has sent nothing for some time.
+func (b *Balancer) MarkSilent(now cassiatally.Instant, n cassiatally.NodeID) {
 	if e := b.nodes[n]; e != nil && !now.Before(e.unreachedUntil) {
 		e.pauseUnreached(now)
 	}
 }
 
-// Responding records that the node of the endpoint is reachable again.
-func (b *Balancer) Responding(n cassiatally.NodeID) {
+// MarkResponding records that the node of the endpoint is reachable again.
+func (b *Balancer) MarkResponding(n cassiatally.NodeID) {
 	if e := b.nodes[n]; e != nil {
 		e.unreachedUntil, e.unreachedPause = 0, 0
 	}
