--- a/node/executor/executor.go
+++ b/node/executor/executor.go
@@ -1,5 +1,5 @@
-// Package executor is the duty that owns the calls at the local backend server.
-// Its workers each make one HTTP call to the backend server at a time.
+// Package executor is the duty that runs calls at the local backend server. Each of
+// its workers makes one HTTP call to the backend server at a time.
 //
 // # Usage
 //
@@ -24,17 +24,19 @@
 
 const (
 	inboxSize = 4096
-	// resultReserve keeps places for results, which complete work, when calls fill
-	// the ring.
+	// resultReserve is the inbox space that calls leave free for results, since
+	// results complete work.
 	resultReserve = 1024
-	// tickEvery updates levels and reports; queueTick applies while calls are
-	// queued, so that they are dropped soon after they have become hopeless. A
-	// node at rest would spend most of its processor time on ticks otherwise.
-	tickEvery = 100 * time.Millisecond
-	queueTick = 20 * time.Millisecond
-	markEvery = time.Second
-	// tellEvery repeats a report that found no room at the receiver.
-	tellEvery = time.Second
+	// tickInterval is the time between updates of levels and reports.
+	// queueTickInterval applies while calls are queued, so that they are dropped soon
+	// after they have become unservable. With it at all times an idle node would
+	// spend most of its processor time on ticks.
+	tickInterval         = 100 * time.Millisecond
+	queueTickInterval    = 20 * time.Millisecond
+	suspectCountInterval = time.Second
+	// reportInterval is the time after which a report is repeated, since the receiver
+	// drops reports while its inbox is full.
+	reportInterval = time.Second
 	// MaxWorkers bounds the calls to one backend server.
 	MaxWorkers         = 1024
 	defaultAnnounceTTL = 3 * time.Second
@@ -49,44 +51,46 @@
 	Transport  cassiatally.Transport
 	Requests   cassiatally.Requests
 	Backend    cassiatally.BackendClient
-	// AnnounceTTL is how long an announcement of the backend server holds; 0 means
-	// 3 s.
+	// AnnounceTTL is the time after which an announcement of the backend server
+	// expires; 0 means 3 s.
 	AnnounceTTL time.Duration
 	Logger      cassiatally.Logger
-	// Waits is called with the time that each started call spent in the queue; it
-	// must not block.
+	// OnQueueWait is called with the time that each started call spent in the queue;
+	// it must not block.
 	Waits func(cassiatally.Rank, time.Duration)
-	// Changed is called by the duty when the endpoint or its load changed, while
-	// there are crash reports, and once a second in any case; it must not block.
+	// OnEndpoint is called by the duty when the endpoint or its load has changed,
+	// while there are crash reports, and at least once a second; it must not block.
 	Changed func(cassiatally.Endpoint, []cassiatally.CrashReport)
 
-	inbox   *ring.Ring[event]
-	duty    looper.Looper[event]
-	work    *ring.Ring[job]
-	workers sync.WaitGroup
-	started int
-	target  atomic.Pointer[cassiatally.BackendTarget]
-	waits   map[cassiatally.CallID]func(cassiatally.Answer)
-	cancels map[cassiatally.CallID]context.CancelFunc
-	ctx     context.Context
-	cancel  context.CancelFunc
-	state   cassiatally.EndpointState
-	// ticked and reported are when the last tick and the last report were.
-	ticked, reported cassiatally.Instant
-	running          atomic.Int64
-	counts           atomic.Pointer[runner.Counts]
-	marked           atomic.Pointer[marked]
-	// markNext is when the suspects are counted next.
-	markNext cassiatally.Instant
-	// told, toldCrashes and tellNext are what Changed was last called with, and when
-	// it is called next in any case.
-	told        cassiatally.Endpoint
-	toldCrashes bool
-	tellNext    cassiatally.Instant
-}
-
-// marked counts the requests that crashed the backend server or may have.
-type marked struct{ suspects, quarantined int }
+	inbox       *ring.Ring[event]
+	duty        looper.Looper[event]
+	work        *ring.Ring[job]
+	workers     sync.WaitGroup
+	workerCount int
+	target      atomic.Pointer[cassiatally.BackendTarget]
+	replies     map[cassiatally.CallID]func(cassiatally.Answer)
+	cancels     map[cassiatally.CallID]context.CancelFunc
+	ctx         context.Context
+	cancel      context.CancelFunc
+	state       cassiatally.EndpointState
+	// lastTick and lastReport are the times of the last tick and the last report.
+	lastTick, lastReport cassiatally.Instant
+	running              atomic.Int64
+	counts               atomic.Pointer[runner.Counts]
+	suspects             atomic.Pointer[suspectCounts]
+	// nextSuspectCount is when the suspects are counted next.
+	nextSuspectCount cassiatally.Instant
+	// reportedEndpoint is the endpoint of the last call of OnEndpoint, and
+	// reportedCrashes is set if that call had crash reports. nextReport is when
+	// OnEndpoint is called again even without a change.
+	reportedEndpoint cassiatally.Endpoint
+	reportedCrashes  bool
+	nextReport       cassiatally.Instant
+}
+
+// suspectCounts has the numbers of requests that are suspected of crashing backend
+// servers and of those that are quarantined for it.
+type suspectCounts struct{ suspects, quarantined int }
 
 type job struct {
 	ctx  context.Context
@@ -119,10 +123,10 @@
 	sharesEvent   struct {
 		shares [cassiatally.MaxRanks]cassiatally.Share
 	}
-	crashesEvent   struct{ reports []cassiatally.CrashReport }
-	crashNewsEvent struct {
-		from cassiatally.NodeID
-		news cassiatally.Gossip
+	mergeCrashesEvent struct{ reports []cassiatally.CrashReport }
+	crashReportsEvent struct {
+		from   cassiatally.NodeID
+		gossip cassiatally.Gossip
 	}
 	peersEvent struct {
 		peers map[cassiatally.Service][]cassiatally.NodeID
@@ -131,7 +135,7 @@
 		call  runner.ChildCall
 		reply func(cassiatally.Answer)
 	}
-	childGoneEvent   struct{ waiter cassiatally.CallID }
+	abandonEvent     struct{ waiter cassiatally.CallID }
 	childAnswerEvent struct {
 		id     cassiatally.CallID
 		answer cassiatally.Answer
@@ -146,24 +150,25 @@
 	x.ctx, x.cancel = context.WithCancel(context.Background())
 	x.inbox = ring.New[event](inboxSize, ring.Wait)
 	x.work = ring.New[job](MaxWorkers, ring.RefuseNewest)
-	x.waits = make(map[cassiatally.CallID]func(cassiatally.Answer))
+	x.replies = make(map[cassiatally.CallID]func(cassiatally.Answer))
 	x.cancels = make(map[cassiatally.CallID]context.CancelFunc)
 	x.counts.Store(&runner.Counts{})
-	x.marked.Store(&marked{})
+	x.suspects.Store(&suspectCounts{})
 	x.duty = looper.Looper[event]{
 		Clock:    x.Clock,
 		Inbox:    x.inbox,
 		Handle:   func(now cassiatally.Instant, e event) { e.apply(x, now) },
 		Tick:     x.tick,
-		Interval: tickEvery,
+		Interval: tickInterval,
 		NextWake: func() (cassiatally.Instant, bool) {
-			return x.ticked.Add(queueTick), x.Runner.Queued() > 0
+			return x.lastTick.Add(queueTickInterval), x.Runner.Queued() > 0
 		},
 	}
 	x.duty.Run()
 }
 
-// Refused returns how many messages found no room in the inbox.
+// Refused returns the number of messages that were dropped because the inbox was
+// full.
 func (x *Executor) Refused() uint64 {
 	refused, _ := x.inbox.LossCounts()
 	return refused
@@ -177,7 +182,7 @@
 	x.duty.Close()
 }
 
-// Running returns the runs in flight.
+// Running returns the number of runs in flight.
 func (x *Executor) Running() int { return int(x.running.Load()) }
 
 // Counts returns the totals of the runner as of the last tick.
@@ -186,88 +191,92 @@
 // Suspects returns how many requests are suspected of crashing backend servers and
 // how many are quarantined, as of the last second.
 func (x *Executor) Suspects() (suspects, quarantined int) {
-	m := x.marked.Load()
+	m := x.suspects.Load()
 	return m.suspects, m.quarantined
 }
 
-// Call hands over a call from a node. It returns false when the ring is full.
+// Call queues a call from a node. It returns false when the inbox is full.
 func (x *Executor) Call(from cassiatally.NodeID, c cassiatally.Call) bool {
 	return x.inbox.Offer(callEvent{from: from, call: c}, resultReserve)
 }
 
-// Cancel hands over a cancellation.
+// Cancel queues the cancellation of a call.
 func (x *Executor) Cancel(id cassiatally.CallID) { x.inbox.Offer(cancelEvent{id: id}, 0) }
 
-// Query hands over a question about a call.
+// Query queues a query of a node for the outcome of a call.
 func (x *Executor) Query(from cassiatally.NodeID, q cassiatally.RunQuery) {
 	x.inbox.Offer(queryEvent{from: from, query: q}, 0)
 }
 
-// Announce hands over what the backend server says about itself.
+// Announce queues an announcement of the backend server. It returns false when the
+// inbox is full.
 func (x *Executor) Announce(a cassiatally.Announcement) bool {
 	return x.inbox.Offer(announceEvent{a: a}, 0)
 }
 
-// Withdraw tells that the backend server has left.
+// Withdraw ends the announcement in force, since the backend server has left.
 func (x *Executor) Withdraw() { x.inbox.Offer(withdrawEvent{}, 0) }
 
-// Leave refuses new work because the node is told to stop.
+// Leave refuses new work because the node is shutting down.
 func (x *Executor) Leave() { x.inbox.Push(x.ctx, leaveEvent{}) }
 
-// SetShares hands over the kept shares of the sheet in force.
+// SetShares sets the reserved share of each rank, from the sheet in force.
 func (x *Executor) SetShares(shares [cassiatally.MaxRanks]cassiatally.Share) {
 	x.inbox.Offer(sharesEvent{shares: shares}, 0)
 }
 
-// Crashes hands over crash reports of other nodes.
+// MergeCrashReports queues crash reports that arrived with the gossip about members.
 func (x *Executor) Crashes(reports []cassiatally.CrashReport) {
-	x.inbox.Offer(crashesEvent{reports: reports}, 0)
+	x.inbox.Offer(mergeCrashesEvent{reports: reports}, 0)
 }
 
-// CrashNews hands over a crash that another node tells, or an acknowledgement.
-// Without room it is lost, and the other node tells the crash again.
-func (x *Executor) CrashNews(from cassiatally.NodeID, news cassiatally.Gossip) {
-	x.inbox.Offer(crashNewsEvent{from: from, news: news}, 0)
+// HandleCrashReports queues crash reports that another node sent directly, or its
+// acknowledgement of such reports. They are dropped when the inbox is full; the other
+// node sends unacknowledged reports again.
+func (x *Executor) CrashNews(from cassiatally.NodeID, g cassiatally.Gossip) {
+	x.inbox.Offer(crashReportsEvent{from: from, gossip: g}, 0)
 }
 
-// SetPeers hands over the other nodes beside the endpoints of each service.
+// SetPeers sets the nodes of the endpoints of each service, except this one.
 func (x *Executor) SetPeers(peers map[cassiatally.Service][]cassiatally.NodeID) {
 	x.inbox.Offer(peersEvent{peers: peers}, 0)
 }
 
-// Child hands over an onward call of the backend server.
+// BeginChild queues an onward call of the backend server. It returns false when the
+// inbox is full; reply is then not called.
 func (x *Executor) Child(c runner.ChildCall, reply func(cassiatally.Answer)) bool {
 	return x.inbox.Offer(childEvent{call: c, reply: reply}, resultReserve)
 }
 
-// ChildGone tells that the backend server does not wait for an onward call any more.
+// AbandonChild withdraws an onward call for which the backend server does not wait
+// any more.
 func (x *Executor) ChildGone(waiter cassiatally.CallID) {
-	x.inbox.Offer(childGoneEvent{waiter: waiter}, 0)
+	x.inbox.Offer(abandonEvent{waiter: waiter}, 0)
 }
 
 func (x *Executor) tick(now cassiatally.Instant) {
-	x.ticked = now
+	x.lastTick = now
 	x.carryOut(now, x.Runner.Tick(now))
-	if now.Sub(x.reported) >= tickEvery {
-		x.report(now)
+	if now.Sub(x.lastReport) >= tickInterval {
+		x.reportEndpoint(now)
 	}
 }
 
-func (x *Executor) report(now cassiatally.Instant) {
-	x.reported = now
+func (x *Executor) reportEndpoint(now cassiatally.Instant) {
+	x.lastReport = now
 	e := x.Runner.Endpoint()
 	counts := x.Runner.Counts()
 	x.counts.Store(&counts)
-	x.countMarked(now)
+	x.countSuspects(now)
 	if e.State != x.state {
 		x.state = e.State
 		x.Logger.Info("backend server state changed", "service", e.Service, "state", e.State)
 	}
 	reports := x.Quarantine.Reports(now)
-	if len(reports) == 0 && !x.toldCrashes && !now.Reached(x.tellNext) && sameEndpoint(e, x.told) {
+	if len(reports) == 0 && !x.reportedCrashes && !now.Reached(x.nextReport) && sameEndpoint(e, x.reportedEndpoint) {
 		return
 	}
-	x.told, x.toldCrashes, x.tellNext = e, len(reports) > 0, now.Add(tellEvery)
+	x.reportedEndpoint, x.reportedCrashes, x.nextReport = e, len(reports) > 0, now.Add(reportInterval)
 	x.Changed(e, reports)
 }
 
@@ -276,15 +285,15 @@
 		a.Load == b.Load && slices.Equal(a.Levels, b.Levels)
 }
 
-// countMarked counts once a second, since it looks at every suspect.
-func (x *Executor) countMarked(now cassiatally.Instant) {
-	if !now.Reached(x.markNext) {
+// countSuspects counts at most once a second, since it visits every suspect.
+func (x *Executor) countSuspects(now cassiatally.Instant) {
+	if !now.Reached(x.nextSuspectCount) {
 		return
 	}
-	x.markNext = now.Add(markEvery)
-	var m marked
+	x.nextSuspectCount = now.Add(suspectCountInterval)
+	var m suspectCounts
 	m.suspects, m.quarantined = x.Quarantine.Count(now)
-	x.marked.Store(&m)
+	x.suspects.Store(&m)
 }
 
 func (e callEvent) apply(x *Executor, now cassiatally.Instant) {
@@ -293,7 +302,8 @@
 	x.carryOut(now, actions)
 }
 
-// logRefusal writes a line when a call is answered without being queued.
+// logRefusal logs the calls that are refused when a call arrives: that call itself,
+// or a queued one that is dropped in its favour.
 func (x *Executor) logRefusal(e callEvent, actions []cassiatally.Action) {
 	for _, action := range actions {
 		s, ok := action.(cassiatally.Send)
@@ -329,11 +339,11 @@
 	x.logResult(e)
 	x.carryOut(now, x.Runner.Finished(now, e.id, e.res))
 	if e.res.Kind == cassiatally.ResultBroken {
-		x.report(now) // the loss of the endpoint and the crash go to all members
+		x.reportEndpoint(now) // the lost endpoint and the crash reports go to all members at once
 	}
 }
 
-// logResult writes a line for a run that ended without a success.
+// logResult logs a run that did not succeed.
 func (x *Executor) logResult(e resultEvent) {
 	failed := e.res.Kind != cassiatally.ResultAnswered || e.res.Status >= firstServerError
 	if !failed {
@@ -348,39 +358,39 @@
 	})
 	x.addWorkers(int(e.a.Endpoint.Slots))
 	x.carryOut(now, x.Runner.Announce(now, e.a.Endpoint, x.AnnounceTTL))
-	x.report(now)
+	x.reportEndpoint(now)
 }
 
-// addWorkers starts workers up to the slots that the backend server announces.
+// addWorkers starts workers until there is one for each announced slot, or MaxWorkers.
 func (x *Executor) addWorkers(slots int) {
-	for x.started < min(slots, MaxWorkers) {
-		x.started++
-		x.workers.Go(x.serve)
+	for x.workerCount < min(slots, MaxWorkers) {
+		x.workerCount++
+		x.workers.Go(x.runWorker)
 	}
 }
 
 func (e withdrawEvent) apply(x *Executor, now cassiatally.Instant) {
 	x.carryOut(now, x.Runner.Withdraw(now))
-	x.report(now)
+	x.reportEndpoint(now)
 }
 
 func (e leaveEvent) apply(x *Executor, now cassiatally.Instant) {
 	x.carryOut(now, x.Runner.Leave(now))
-	x.report(now)
+	x.reportEndpoint(now)
 }
 
 func (e sharesEvent) apply(x *Executor, _ cassiatally.Instant) { x.Runner.SetShares(e.shares) }
 
-func (e crashesEvent) apply(x *Executor, now cassiatally.Instant) {
+func (e mergeCrashesEvent) apply(x *Executor, now cassiatally.Instant) {
 	x.Quarantine.Merge(now, e.reports)
 }
 
-func (e crashNewsEvent) apply(x *Executor, now cassiatally.Instant) {
-	if e.news.CrashAck != 0 {
-		x.carryOut(now, x.Runner.HandleCrashAck(now, e.from, e.news.CrashAck))
+func (e crashReportsEvent) apply(x *Executor, now cassiatally.Instant) {
+	if e.gossip.CrashAck != 0 {
+		x.carryOut(now, x.Runner.HandleCrashAck(now, e.from, e.gossip.CrashAck))
 		return
 	}
-	x.carryOut(now, x.Runner.HandleCrashReports(now, e.from, e.news))
+	x.carryOut(now, x.Runner.HandleCrashReports(now, e.from, e.gossip))
 }
 
 func (e peersEvent) apply(x *Executor, now cassiatally.Instant) {
@@ -388,12 +398,12 @@
 }
 
 func (e childEvent) apply(x *Executor, now cassiatally.Instant) {
-	x.waits[e.call.Waiter] = e.reply
+	x.replies[e.call.Waiter] = e.reply
 	x.carryOut(now, x.Runner.BeginChild(now, e.call))
 }
 
-func (e childGoneEvent) apply(x *Executor, now cassiatally.Instant) {
-	delete(x.waits, e.waiter)
+func (e abandonEvent) apply(x *Executor, now cassiatally.Instant) {
+	delete(x.replies, e.waiter)
 	x.carryOut(now, x.Runner.AbandonChild(now, e.waiter))
 }
 
@@ -411,7 +421,7 @@
 			}
 		case cassiatally.StartRun:
 			x.Waits(a.Call.Rank, a.Waited)
-			x.start(now, a.Call)
+			x.startRun(now, a.Call)
 		case cassiatally.AbortRun:
 			if cancel, ok := x.cancels[a.Call]; ok {
 				cancel()
@@ -428,14 +438,14 @@
 }
 
 func (x *Executor) deliver(d cassiatally.Deliver) {
-	reply, ok := x.waits[d.Call]
-	delete(x.waits, d.Call)
+	reply, ok := x.replies[d.Call]
+	delete(x.replies, d.Call)
 	if ok {
 		reply(d.Answer)
 	}
 }
 
-func (x *Executor) start(now cassiatally.Instant, c cassiatally.Call) {
+func (x *Executor) startRun(now cassiatally.Instant, c cassiatally.Call) {
 	ctx, cancel := context.WithTimeout(x.ctx, c.Remaining)
 	x.cancels[c.ID] = cancel
 	if x.work.Offer(job{ctx: ctx, call: c}, 0) {
@@ -458,7 +468,7 @@
 	}
 }
 
-func (x *Executor) serve() {
+func (x *Executor) runWorker() {
 	for {
 		j, ok := x.work.Pop(x.ctx)
 		if !ok {
