--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -1,5 +1,5 @@
 // Package dispatcher is the duty that owns the router of a node: the calls that
-// the node sends on, their retries and their timers.
+// the node routes to endpoints, their retries and their timers.
 //
 // # Usage
 //
@@ -27,14 +27,15 @@
 
 const (
 	inboxSize = 4096
-	// answerReserve keeps places for answers, which complete work, when requests
-	// fill the ring.
+	// answerReserve is the inbox space that requests leave free for answers, since
+	// answers complete work.
 	answerReserve = 1024
-	// tickEvery bounds what the router's own wake times do not: counts and queries.
-	tickEvery = 100 * time.Millisecond
+	// tickInterval applies to the counts and the deadlines of queries. The router sets
+	// its own wake times.
+	tickInterval = 100 * time.Millisecond
 )
 
-// Reply takes the answer to a submitted request.
+// Reply receives the answer to a submitted request.
 type Reply func(cassiatally.Answer)
 
 // Dispatcher is the duty. Its fields are set before Run.
@@ -44,19 +45,20 @@
 	Loads     cassiatally.LoadTracker
 	Clock     cassiatally.Clock
 	Transport cassiatally.Transport
-	// Splitter chooses the service of requests whose route has several.
+	// Splitter chooses the service of each request whose route has several.
 	Splitter *splitter.Splitter
 
-	inbox *ring.Ring[event]
-	duty  looper.Looper[event]
-	waits map[cassiatally.CallID]Reply
-	asks  map[cassiatally.CallID]ask
-	// foreign counts answers to queries that are tagged as those of other requests.
-	foreign uint64
-	counts  atomic.Pointer[router.Counts]
+	inbox   *ring.Ring[event]
+	duty    looper.Looper[event]
+	replies map[cassiatally.CallID]Reply
+	queries map[cassiatally.CallID]pendingQuery
+	// foreignAnswers counts the answers to queries that carry the tag of another
+	// request.
+	foreignAnswers uint64
+	counts         atomic.Pointer[router.Counts]
 }
 
-type ask struct {
+type pendingQuery struct {
 	tag      cassiatally.RequestTag
 	reply    Reply
 	deadline cassiatally.Instant
@@ -76,10 +78,10 @@
 		from   cassiatally.NodeID
 		answer cassiatally.Answer
 	}
-	lostEvent   struct{ peer cassiatally.NodeRef }
-	silentEvent struct{ peer cassiatally.NodeRef }
-	heardEvent  struct{ peer cassiatally.NodeRef }
-	failedEvent struct {
+	lostEvent       struct{ peer cassiatally.NodeRef }
+	silentEvent     struct{ peer cassiatally.NodeRef }
+	respondingEvent struct{ peer cassiatally.NodeRef }
+	failedEvent     struct {
 		to cassiatally.NodeID
 		m  cassiatally.Message
 	}
@@ -87,7 +89,7 @@
 		candidates []cassiatally.Candidate
 		loads      []EndpointLevels
 	}
-	askEvent struct {
+	queryEvent struct {
 		to      cassiatally.NodeID
 		query   cassiatally.KeyQuery
 		timeout time.Duration
@@ -115,21 +117,22 @@
 // Run starts the duty.
 func (d *Dispatcher) Run() {
 	d.inbox = ring.New[event](inboxSize, ring.Wait)
-	d.waits = make(map[cassiatally.CallID]Reply)
-	d.asks = make(map[cassiatally.CallID]ask)
+	d.replies = make(map[cassiatally.CallID]Reply)
+	d.queries = make(map[cassiatally.CallID]pendingQuery)
 	d.counts.Store(&router.Counts{})
 	d.duty = looper.Looper[event]{
 		Clock:    d.Clock,
 		Inbox:    d.inbox,
 		Handle:   func(now cassiatally.Instant, e event) { e.apply(d, now) },
 		Tick:     d.tick,
-		Interval: tickEvery,
+		Interval: tickInterval,
 		NextWake: d.Router.NextWake,
 	}
 	d.duty.Run()
 }
 
-// Refused returns how many messages found no room in the inbox.
+// Refused returns the number of messages that were dropped because the inbox was
+// full.
 func (d *Dispatcher) Refused() uint64 {
 	refused, _ := d.inbox.LossCounts()
 	return refused
@@ -141,53 +144,55 @@
 // Counts returns the totals of the router as of the last tick.
 func (d *Dispatcher) Counts() router.Counts { return *d.counts.Load() }
 
-// Submit hands over a request. It returns false when the ring is full; reply is
-// then not called.
+// Submit queues a request. It returns false when the inbox is full; reply is then not
+// called.
 func (d *Dispatcher) Submit(req cassiatally.Request, reply Reply) bool {
 	return d.inbox.Offer(submitEvent{req: req, reply: reply}, answerReserve)
 }
 
-// Withdraw tells that nobody waits for a request any more.
+// Withdraw cancels a request whose submitter no longer waits for the answer.
 func (d *Dispatcher) Withdraw(id cassiatally.CallID) {
 	d.inbox.Offer(withdrawEvent{id: id}, 0)
 }
 
-// Ask sends a query for a key's outcome to a node.
+// QueryKey queries the outcome of a key at a node. It returns false when the inbox is
+// full; reply is then not called.
 func (d *Dispatcher) Ask(to cassiatally.NodeID, q cassiatally.KeyQuery, timeout time.Duration, reply Reply) bool {
-	return d.inbox.Offer(askEvent{to: to, query: q, timeout: timeout, reply: reply}, answerReserve)
+	return d.inbox.Offer(queryEvent{to: to, query: q, timeout: timeout, reply: reply}, answerReserve)
 }
 
-// Answer hands over an answer from a node. It never waits, since the executor of
-// this node may be the sender. An answer that finds no room is lost, and the call
+// Answer queues an answer from a node. It never blocks, since the executor of this
+// node may be the sender. When the inbox is full the answer is dropped, and the call
 // ends at its deadline.
 func (d *Dispatcher) Answer(from cassiatally.NodeID, a cassiatally.Answer) {
 	d.inbox.Offer(answerEvent{from: from, answer: a}, 0)
 }
 
-// LinkLost hands over the loss of a link.
+// LinkLost queues the loss of a link. It blocks while the inbox is full.
 func (d *Dispatcher) LinkLost(peer cassiatally.NodeRef) {
 	d.inbox.Push(context.Background(), lostEvent{peer: peer})
 }
 
-// LinkSilent hands over that nothing is heard of a node to which a link is open.
-// Without room it is lost, and the link ends soon.
+// LinkSilent queues that a node has sent nothing for some time on an open link. It is
+// dropped when the inbox is full; a link that stays silent ends soon.
 func (d *Dispatcher) LinkSilent(peer cassiatally.NodeRef) {
 	d.inbox.Offer(silentEvent{peer: peer}, 0)
 }
 
-// LinkHeard hands over that a node is in reach. Without room it is lost, and the
-// endpoint is tried again later.
+// LinkResponding queues that a link to a node has opened, or that the node sends
+// again. It is dropped when the inbox is full; the endpoint is tried again later.
 func (d *Dispatcher) LinkHeard(peer cassiatally.NodeRef) {
-	d.inbox.Offer(heardEvent{peer: peer}, 0)
+	d.inbox.Offer(respondingEvent{peer: peer}, 0)
 }
 
-// SendFailed hands over a message that was certainly not delivered.
+// SendFailed queues a message that was certainly not delivered.
 func (d *Dispatcher) SendFailed(to cassiatally.NodeID, m cassiatally.Message) {
-	// The duty itself may be the sender, so this must not wait for room.
+	// The duty itself may be the sender, so this must not block.
 	d.inbox.Offer(failedEvent{to: to, m: m}, 0)
 }
 
-// Endpoints hands over the endpoints that membership knows.
+// SetEndpoints replaces the endpoints by those of the member table, with the loads
+// that gossip reported for them.
 func (d *Dispatcher) Endpoints(candidates []cassiatally.Candidate, loads []EndpointLevels) {
 	d.inbox.Offer(endpointsEvent{candidates: candidates, loads: loads}, 0)
 }
@@ -195,18 +200,18 @@
 func (d *Dispatcher) tick(now cassiatally.Instant) {
 	d.carryOut(now, d.Router.Tick(now))
 	counts := d.Router.Counts()
-	counts.ForeignAnswers += d.foreign
+	counts.ForeignAnswers += d.foreignAnswers
 	d.counts.Store(&counts)
-	for id, a := range d.asks {
-		if now.Reached(a.deadline) {
-			delete(d.asks, id)
-			a.reply(cassiatally.Answer{ID: id, Kind: cassiatally.KindUnavailable, Detail: "the holder of the key's shard did not answer"})
+	for id, q := range d.queries {
+		if now.Reached(q.deadline) {
+			delete(d.queries, id)
+			q.reply(cassiatally.Answer{ID: id, Kind: cassiatally.KindUnavailable, Detail: "the holder of the key's shard did not answer"})
 		}
 	}
 }
 
 func (e submitEvent) apply(d *Dispatcher, now cassiatally.Instant) {
-	d.waits[e.req.ID] = e.reply
+	d.replies[e.req.ID] = e.reply
 	if e.req.Route != nil {
 		e.req.Service = d.Splitter.Choose(e.req.Route)
 	}
@@ -214,18 +219,18 @@
 }
 
 func (e withdrawEvent) apply(d *Dispatcher, now cassiatally.Instant) {
-	delete(d.waits, e.id)
+	delete(d.replies, e.id)
 	d.carryOut(now, d.Router.Cancel(now, e.id))
 }
 
 func (e answerEvent) apply(d *Dispatcher, now cassiatally.Instant) {
-	if a, ok := d.asks[e.answer.ID]; ok {
-		if e.answer.Request != 0 && e.answer.Request != a.tag && !faultswitch.Off(faultswitch.AnswerTag) {
-			d.foreign++
+	if q, ok := d.queries[e.answer.ID]; ok {
+		if e.answer.Request != 0 && e.answer.Request != q.tag && !faultswitch.Off(faultswitch.AnswerTag) {
+			d.foreignAnswers++
 			return
 		}
-		delete(d.asks, e.answer.ID)
-		a.reply(e.answer)
+		delete(d.queries, e.answer.ID)
+		q.reply(e.answer)
 		return
 	}
 	d.carryOut(now, d.Router.HandleAnswer(now, e.from, e.answer))
@@ -239,7 +244,9 @@
 	d.carryOut(now, d.Router.LinkSilent(now, e.peer))
 }
 
-func (e heardEvent) apply(d *Dispatcher, _ cassiatally.Instant) { d.Balancer.Responding(e.peer.Node) }
+func (e respondingEvent) apply(d *Dispatcher, _ cassiatally.Instant) {
+	d.Balancer.Responding(e.peer.Node)
+}
 
 func (e failedEvent) apply(d *Dispatcher, now cassiatally.Instant) {
 	d.carryOut(now, d.Router.SendFailed(now, e.to, e.m))
@@ -252,10 +259,10 @@
 	}
 }
 
-func (e askEvent) apply(d *Dispatcher, now cassiatally.Instant) {
-	d.asks[e.query.ID] = ask{tag: e.query.Tag(), reply: e.reply, deadline: now.Add(e.timeout)}
+func (e queryEvent) apply(d *Dispatcher, now cassiatally.Instant) {
+	d.queries[e.query.ID] = pendingQuery{tag: e.query.Tag(), reply: e.reply, deadline: now.Add(e.timeout)}
 	if err := d.Transport.Send(e.to, e.query); err != nil {
-		delete(d.asks, e.query.ID)
+		delete(d.queries, e.query.ID)
 		e.reply(cassiatally.Answer{ID: e.query.ID, Kind: cassiatally.KindUnavailable, Detail: err.Error()})
 	}
 }
@@ -268,8 +275,8 @@
 				d.carryOut(now, d.Router.SendFailed(now, a.To, a.Message))
 			}
 		case cassiatally.Deliver:
-			reply, ok := d.waits[a.Call]
-			delete(d.waits, a.Call)
+			reply, ok := d.replies[a.Call]
+			delete(d.replies, a.Call)
 			if ok {
 				reply(a.Answer)
 			}
