--- a/node/forwarder/forwarder.go
+++ b/node/forwarder/forwarder.go
@@ -1,5 +1,5 @@
-// Package forwarder takes requests of front ends into the mesh: it finds the route,
-// submits the request to the dispatcher and waits for the answer.
+// Package forwarder routes the requests of front ends: it matches the route, submits
+// the request to the dispatcher and waits for the answer.
 //
 // # Usage
 //
@@ -20,19 +20,22 @@
 )
 
 const (
-	// replyGrace is how long a request waits for the dispatcher after its deadline.
+	// replyGrace is the time after the deadline of a request in which the answer of the
+	// dispatcher is still accepted.
 	replyGrace = 200 * time.Millisecond
-	// chainRetries bounds the retries of all calls of a chain. Each layer hands half of
-	// what it has to the layer below, so that a chain of four calls has one retry left
-	// for each of its last calls. The budget of the fleet is far tighter.
+	// chainRetries bounds the retries of all calls of a chain. Each layer passes half of
+	// its retries to the layer below, so that a chain of four calls has one retry left
+	// for each of its last calls. The retry budget of the fleet is far tighter.
 	chainRetries cassiatally.RetryCount = 32
 	// defaultTimeout applies to requests without a deadline on routes without a timeout.
 	defaultTimeout = 30 * time.Second
-	// comeBack tells callers when to send again while the node has no routes.
-	comeBack = 500 * time.Millisecond
+	// refusalRetryAfter is the pause that callers are asked for when a request is refused
+	// because the node has no routes yet or is overloaded.
+	refusalRetryAfter = 500 * time.Millisecond
 )
 
-// Runs knows the runs of the backend server of this host; the executor implements it.
+// Runs takes the onward calls of the runs at the backend server of this host. The
+// executor implements it.
 type Runs interface {
 	Child(c runner.ChildCall, reply func(cassiatally.Answer)) bool
 	ChildGone(waiter cassiatally.CallID)
@@ -64,7 +67,7 @@
 	defer f.inFlight.Add(-1)
 	routes, ok := f.Routes()
 	if !ok {
-		return refuse(cassiatally.KindNoBackend, "no route table is in force yet", comeBack)
+		return refuse(cassiatally.KindNoBackend, "no route table is in force yet", refusalRetryAfter)
 	}
 	path, _, _ := strings.Cut(in.Head.Target, "?")
 	route, ok := routes.Match(in.Host, path)
@@ -72,19 +75,19 @@
 		f.Logger.Info("request without a route", "request", in.Name, "host", in.Host, "path", path, "version", routes.Table().Version)
 		return refuse(cassiatally.KindUnknownKind, "no route matches", 0)
 	}
-	req := f.request(in, route, routes.Table().Version, arrived)
-	a := f.answer(ctx, in, req, arrived)
+	req := f.newRequest(in, route, routes.Table().Version, arrived)
+	a := f.awaitAnswer(ctx, in, req, arrived)
 	took := f.Clock.Now().Sub(arrived)
 	f.Observer.Request(req.Policy, "", a, took)
-	f.log(req, a, took)
+	f.logAnswer(req, a, took)
 	return a
 }
 
-func refuse(kind cassiatally.ErrorKind, detail string, after time.Duration) cassiatally.Answer {
-	return cassiatally.Answer{Outcome: cassiatally.OutcomeNotRun, Kind: kind, Detail: detail, RetryAfter: after}
+func refuse(kind cassiatally.ErrorKind, detail string, retryAfter time.Duration) cassiatally.Answer {
+	return cassiatally.Answer{Outcome: cassiatally.OutcomeNotRun, Kind: kind, Detail: detail, RetryAfter: retryAfter}
 }
 
-func (f *Forwarder) request(in cassiatally.Inbound, route *cassiatally.Route, v cassiatally.Version, arrived cassiatally.Instant) cassiatally.Request {
+func (f *Forwarder) newRequest(in cassiatally.Inbound, route *cassiatally.Route, v cassiatally.Version, arrived cassiatally.Instant) cassiatally.Request {
 	root := rootOf(in)
 	req := cassiatally.Request{
 		ID:      f.NextID(),
@@ -112,7 +115,7 @@
 	return req
 }
 
-// rootOf returns the root id of a request. All calls of a chain have the same.
+// rootOf returns the root id of a request, which all calls of a chain share.
 func rootOf(in cassiatally.Inbound) cassiatally.RootID {
 	name := in.Root
 	if name == "" {
@@ -132,20 +135,20 @@
 	return timeout
 }
 
-// answer returns the answer to a request. A call of a run in flight here shares
-// the deadline and the retries of that run.
-func (f *Forwarder) answer(ctx context.Context, in cassiatally.Inbound, req cassiatally.Request, arrived cassiatally.Instant) cassiatally.Answer {
+// awaitAnswer submits a request and waits for its answer. An onward call of a run in
+// flight on this host shares the deadline and the retries of that run.
+func (f *Forwarder) awaitAnswer(ctx context.Context, in cassiatally.Inbound, req cassiatally.Request, arrived cassiatally.Instant) cassiatally.Answer {
 	if in.Parent != "" {
-		a, known := f.awaitChild(ctx, in, req, arrived)
-		if known {
+		a, parentFound := f.awaitChild(ctx, in, req, arrived)
+		if parentFound {
 			return a
 		}
 	}
-	return f.await(ctx, req, arrived)
+	return f.awaitRequest(ctx, req, arrived)
 }
 
-// awaitChild returns false when the parent does not run here, as after a restart of
-// this node.
+// awaitChild submits an onward call under its parent run and waits for the answer. It
+// returns false when the parent does not run here, as after a restart of this node.
 func (f *Forwarder) awaitChild(ctx context.Context, in cassiatally.Inbound, req cassiatally.Request, arrived cassiatally.Instant) (cassiatally.Answer, bool) {
 	w := waiter.New()
 	child := runner.ChildCall{
@@ -153,7 +156,7 @@
 		Idempotent: req.Policy.Idempotent, Remaining: req.Deadline.Sub(arrived), Attempt: 1,
 	}
 	if !f.Runs.Child(child, w.Deliver) {
-		return refuse(cassiatally.KindOverloaded, "the node has too many requests in flight", comeBack), true
+		return refuse(cassiatally.KindOverloaded, "the node has too many requests in flight", refusalRetryAfter), true
 	}
 	ctx, cancel := context.WithTimeout(ctx, req.Deadline.Sub(arrived)+replyGrace)
 	defer cancel()
@@ -169,10 +172,10 @@
 	return cassiatally.Answer{Outcome: cassiatally.OutcomeUnknown, Kind: cassiatally.KindCancelled, Detail: "the caller left"}
 }
 
-func (f *Forwarder) await(ctx context.Context, req cassiatally.Request, arrived cassiatally.Instant) cassiatally.Answer {
+func (f *Forwarder) awaitRequest(ctx context.Context, req cassiatally.Request, arrived cassiatally.Instant) cassiatally.Answer {
 	w := waiter.New()
 	if !f.Requests.Submit(req, w.Deliver) {
-		return refuse(cassiatally.KindOverloaded, "the node has too many requests in flight", comeBack)
+		return refuse(cassiatally.KindOverloaded, "the node has too many requests in flight", refusalRetryAfter)
 	}
 	ctx, cancel := context.WithTimeout(ctx, req.Deadline.Sub(arrived)+replyGrace)
 	defer cancel()
@@ -184,7 +187,7 @@
 	return callerLeft()
 }
 
-func (f *Forwarder) log(req cassiatally.Request, a cassiatally.Answer, took time.Duration) {
+func (f *Forwarder) logAnswer(req cassiatally.Request, a cassiatally.Answer, took time.Duration) {
 	fields := []any{
 		"request", req.Name, "route", req.Work, "version", req.Policy.Version, "rank", req.Policy.Rank, "onward", req.Depth > 0,
 		"kind", a.Kind, "outcome", a.Outcome, "status", a.Status, "endpoint", a.Endpoint.Node, "retries", a.RetriesSpent, "took", took, "detail", a.Detail,
