--- a/node/linker/heartbeat.go
+++ b/node/linker/heartbeat.go
@@ -7,30 +7,30 @@
 	"github.com/cassiatally/cassiatally/cassiatally/faultswitch"
 )
 
-// timing has the times that apply to a link in its present state.
+// timing has the intervals that apply to a link in its present state.
 type timing struct {
-	// beat is the time without a message from this end after which it sends a
-	// heartbeat.
-	beat time.Duration
-	// silent and dead are the times without a message from the other end after which
-	// the link counts as silent, and is ended; 0 for silent means never.
-	silent, dead time.Duration
+	// heartbeat is the time without a write by this end after which it sends a Ping.
+	heartbeat time.Duration
+	// silentAfter and deadAfter are the times without a message from the other end after
+	// which the link counts as silent and is ended, respectively; 0 for silentAfter means
+	// never.
+	silentAfter, deadAfter time.Duration
 	// since is when the state began.
 	since time.Time
 }
 
 func (k *link) timing(now time.Time) timing {
 	if since, active := k.calls.activeSince(now); active {
-		return timing{beat: k.owner.Heartbeat, silent: k.owner.SilentAfter, dead: k.owner.DeadAfter, since: since}
+		return timing{heartbeat: k.owner.Heartbeat, silentAfter: k.owner.SilentAfter, deadAfter: k.owner.DeadAfter, since: since}
 	}
-	return timing{beat: quietBeat, dead: quietSilence, since: k.opened}
+	return timing{heartbeat: inactiveHeartbeat, deadAfter: inactiveDeadAfter, since: k.opened}
 }
 
-// startTimer starts the timer that sends heartbeats and watches for silence.
+// startTimer starts the timer that sends heartbeats and detects a silent peer.
 func (k *link) startTimer() {
 	k.opened = time.Now()
-	k.lastRead.Store(steady())
-	k.lastWrite.Store(steady())
+	k.lastRead.Store(monotonic())
+	k.lastWrite.Store(monotonic())
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.firesAt = k.opened.Add(k.owner.Heartbeat)
@@ -43,7 +43,7 @@
 	k.timer.Stop()
 }
 
-// fireWithin has the timer fire within a time.
+// fireWithin makes the timer fire no later than after d.
 func (k *link) fireWithin(d time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -60,8 +60,9 @@
 	k.timer.Reset(d)
 }
 
-// onTimer sends a heartbeat if one is due, ends the link when nothing arrived for
-// longer than its state allows, and sets the timer anew.
+// onTimer sends a heartbeat if one is due, ends the link when nothing has arrived for
+// longer than its state allows, and resets the timer. After a stall of this process it
+// first gives the reader time to read what has arrived meanwhile.
 func (k *link) onTimer() {
 	if k.ctx.Err() != nil {
 		return
@@ -70,15 +71,15 @@
 	due := k.firesAt
 	k.mu.Unlock()
 	now := time.Now()
-	if now.Sub(due) > stallTime {
-		k.fireIn(stallTime)
+	if now.Sub(due) > stallThreshold {
+		k.fireIn(stallThreshold)
 		return
 	}
-	r := k.timing(now)
-	heard := now.Sub(later(r.since, k.lastRead.Load()))
-	wrote := now.Sub(later(r.since, k.lastWrite.Load()))
+	t := k.timing(now)
+	sinceRead := now.Sub(later(t.since, k.lastRead.Load()))
+	sinceWrite := now.Sub(later(t.since, k.lastWrite.Load()))
 	switch {
-	case heard >= r.dead && !faultswitch.Off(faultswitch.LinkSilence):
+	case sinceRead >= t.deadAfter && !faultswitch.Off(faultswitch.LinkSilence):
 		k.end("silent")
 		return
 	case k.writeStuck(now):
@@ -88,39 +89,39 @@
 		k.end("idle")
 		return
 	}
-	next := r.dead - heard
-	if r.silent > heard {
-		next = min(next, r.silent-heard)
-	} else if r.silent > 0 && !k.silent.Swap(true) {
-		k.owner.silent(k)
+	next := t.deadAfter - sinceRead
+	if t.silentAfter > sinceRead {
+		next = min(next, t.silentAfter-sinceRead)
+	} else if t.silentAfter > 0 && !k.silent.Swap(true) {
+		k.owner.notifySilent(k)
 	}
-	if wrote >= r.beat {
-		k.beats++
-		_ = k.push(cassiatally.Ping{Seq: k.beats})
-		wrote = 0
+	if sinceWrite >= t.heartbeat {
+		k.heartbeats++
+		_ = k.push(cassiatally.Ping{Seq: k.heartbeats})
+		sinceWrite = 0
 	}
-	k.fireIn(max(min(next, r.beat-wrote), leastInterval))
+	k.fireIn(max(min(next, t.heartbeat-sinceWrite), minCheckInterval))
 }
 
-// writeStuck reports whether the other end has not taken a frame for too long.
+// writeStuck reports whether the write under way has blocked for DeadAfter.
 func (k *link) writeStuck(now time.Time) bool {
 	began := k.writeBegan.Load()
-	return began != 0 && now.Sub(at(began)) >= k.owner.DeadAfter
+	return began != 0 && now.Sub(timeOf(began)) >= k.owner.DeadAfter
 }
 
-// processStart is what readings of the steady clock count from.
+// processStart is the origin of the monotonic clock.
 var processStart = time.Now()
 
-// steady returns the nanoseconds since the start of the process. Unlike the time of
+// monotonic returns the nanoseconds since the start of the process. Unlike the time of
 // day it does not jump, which would end all links as silent.
-func steady() int64 { return int64(time.Since(processStart)) }
+func monotonic() int64 { return int64(time.Since(processStart)) }
 
-// at returns the time of a reading of the steady clock.
-func at(reading int64) time.Time { return processStart.Add(time.Duration(reading)) }
+// timeOf returns the time of a reading of the monotonic clock.
+func timeOf(reading int64) time.Time { return processStart.Add(time.Duration(reading)) }
 
-// later returns the later of a time and a reading of the steady clock.
+// later returns the later of a time and a reading of the monotonic clock.
 func later(t time.Time, reading int64) time.Time {
-	if u := at(reading); u.After(t) {
+	if u := timeOf(reading); u.After(t) {
 		return u
 	}
 	return t
--- a/node/linker/link.go
+++ b/node/linker/link.go
@@ -17,39 +17,40 @@
 	owner    *Linker
 	addr     cassiatally.Address
 	outbound bool
-	// expected is the node that the address belongs to, when that is known.
+	// expected is the node to which the address belongs; empty if it is unknown.
 	expected cassiatally.NodeID
-	// redialling is set when the last attempt to open a link to the address failed.
+	// redialling is set if the last attempt to open a link to the address failed.
 	redialling bool
-	// served is guarded by the mutex of the owner.
-	served bool
-	outbox *ring.Ring[cassiatally.Message]
-	ctx    context.Context
-	cancel context.CancelFunc
-	peer   cassiatally.NodeRef
-	// lastRequest and lastControl are when a message of a request, or any other but
-	// a heartbeat, was last sent or received.
+	// established is set after the handshake. It is guarded by the mutex of the owner.
+	established bool
+	outbox      *ring.Ring[cassiatally.Message]
+	ctx         context.Context
+	cancel      context.CancelFunc
+	peer        cassiatally.NodeRef
+	// lastRequest is when a message whose answer is awaited, or such an answer, was
+	// last sent or received; 0 for never. lastControl is the same for all other
+	// messages but heartbeats.
 	lastRequest, lastControl atomic.Int64
-	// lastRead and lastWrite are when anything last arrived or was written.
+	// lastRead and lastWrite are when a frame was last read or written.
 	lastRead, lastWrite atomic.Int64
 	// writeBegan is when the write under way began; 0 when there is none. The timer
-	// bounds its time, since a context with a deadline for each frame costs more than
-	// the frame.
+	// bounds its duration, since a context with a deadline for each frame costs more
+	// than the frame.
 	writeBegan atomic.Int64
-	// silent is set while the owner has been told that the link is silent.
+	// silent is set while the link is reported to the owner as silent.
 	silent atomic.Bool
 	calls  openCalls
-	// opened is when the link began to carry messages.
+	// opened is when the reader of the link started.
 	opened time.Time
-	// beats counts the heartbeats; only the timer uses it.
-	beats uint64
+	// heartbeats counts the heartbeats sent; only the timer uses it.
+	heartbeats uint64
 
 	mu sync.Mutex
-	// timer sends heartbeats and watches for silence; firesAt is when it fires next.
-	timer   *time.Timer
-	firesAt time.Time
-	conn    *websocket.Conn
-	why     string
+	// timer sends heartbeats and detects a silent peer; firesAt is when it fires next.
+	timer     *time.Timer
+	firesAt   time.Time
+	conn      *websocket.Conn
+	endReason string
 }
 
 func newLink(l *Linker, addr cassiatally.Address) *link {
@@ -62,7 +63,7 @@
 		ctx:      ctx,
 		cancel:   cancel,
 	}
-	k.lastControl.Store(steady())
+	k.lastControl.Store(monotonic())
 	return k
 }
 
@@ -73,8 +74,8 @@
 	return nil
 }
 
-// greet exchanges Hello frames.
-func (k *link) greet(ctx context.Context, conn *websocket.Conn) error {
+// handshake exchanges Hello frames, which identify the nodes at both ends.
+func (k *link) handshake(ctx context.Context, conn *websocket.Conn) error {
 	conn.SetReadLimit(protocol.MaxFrameBytes)
 	k.mu.Lock()
 	k.conn = conn
@@ -92,19 +93,19 @@
 		return cassiatally.NewError(cassiatally.KindProtocol, "the first frame of a link is not a hello")
 	}
 	if theirs.From.Node == k.owner.Self.Node {
-		// A node that takes over the address of another one is still known there under
-		// the name of that one.
+		// A node that has taken over the address of another one may still have that one
+		// under this address in its member table, and so dial itself.
 		return cassiatally.NewError(cassiatally.KindUnreachable, "the address is that of this node")
 	}
 	k.peer = theirs.From
 	return nil
 }
 
-// end closes the link for a reason; the first reason stays.
-func (k *link) end(why string) {
+// end closes the link and records why, unless it has been ended before.
+func (k *link) end(reason string) {
 	k.mu.Lock()
-	if k.why == "" {
-		k.why = why
+	if k.endReason == "" {
+		k.endReason = reason
 	}
 	conn := k.conn
 	k.mu.Unlock()
@@ -118,7 +119,7 @@
 func (k *link) reason() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.why
+	return k.endReason
 }
 
 func (k *link) write() {
@@ -135,30 +136,34 @@
 	}
 }
 
+// idle reports whether this end should close the link: it opened the link, and neither
+// this link nor another one to the same node is in use.
 func (k *link) idle() bool {
-	return k.outbound && k.quiet() && !k.owner.otherLinkActive(k)
+	return k.outbound && k.unused() && !k.owner.otherLinkActive(k)
 }
 
-func (k *link) quiet() bool {
-	now, requested := steady(), k.lastRequest.Load()
-	return (requested == 0 || now-requested > int64(requestIdle)) && now-k.lastControl.Load() > int64(controlIdle)
+// unused reports whether there was no request for requestIdleTimeout and no other
+// message but heartbeats for controlIdleTimeout.
+func (k *link) unused() bool {
+	now, requested := monotonic(), k.lastRequest.Load()
+	return (requested == 0 || now-requested > int64(requestIdleTimeout)) && now-k.lastControl.Load() > int64(controlIdleTimeout)
 }
 
-// touch records a message that is written or was read.
-func (k *link) touch(m cassiatally.Message) {
+// recordUse records a message that is written or was read.
+func (k *link) recordUse(m cassiatally.Message) {
 	now := time.Now()
 	if isAwaited(m) {
-		k.lastRequest.Store(steady())
+		k.lastRequest.Store(monotonic())
 	} else {
-		k.lastControl.Store(steady())
+		k.lastControl.Store(monotonic())
 	}
-	if k.calls.pass(now, m) {
+	if k.calls.record(now, m) {
 		k.fireWithin(k.owner.Heartbeat)
 	}
 }
 
-// writeQueued writes messages one by one, so that those not yet written are
-// still in the ring when the link ends and can be reported as not sent.
+// writeQueued takes messages from the ring one by one, so that those not yet written
+// are still in the ring when the link ends and can be reported as undelivered.
 func (k *link) writeQueued() bool {
 	for k.outbox.Len() > 0 {
 		m, ok := k.outbox.Pop(k.ctx)
@@ -166,12 +171,12 @@
 			return false
 		}
 		if _, isPing := m.(cassiatally.Ping); !isPing {
-			k.touch(m)
+			k.recordUse(m)
 		}
 		if k.writeFrame(k.ctx, m) != nil {
 			return false
 		}
-		k.lastWrite.Store(steady())
+		k.lastWrite.Store(monotonic())
 	}
 	return true
 }
@@ -179,12 +184,12 @@
 func (k *link) writeFrame(ctx context.Context, m cassiatally.Message) error {
 	frame, err := k.owner.Codec.Encode(m)
 	if err != nil {
-		// One message that cannot be encoded must not end the link of the others.
+		// A message that cannot be encoded must not end the link, which others share.
 		k.owner.Logger.Error("message not encoded", "peer", k.peer, "error", err)
 		return nil
 	}
-	k.owner.bytes.sent(m, len(frame))
-	k.writeBegan.Store(steady())
+	k.owner.bytes.addSent(m, len(frame))
+	k.writeBegan.Store(monotonic())
 	err = k.conn.Write(ctx, websocket.MessageBinary, frame)
 	k.writeBegan.Store(0)
 	return err
@@ -203,9 +208,9 @@
 			}
 			return
 		}
-		k.lastRead.Store(steady())
+		k.lastRead.Store(monotonic())
 		if k.silent.Load() && k.silent.Swap(false) {
-			k.owner.heard(k)
+			k.owner.notifyResponding(k)
 		}
 		k.handle(m)
 	}
@@ -220,7 +225,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k.owner.bytes.received(m, len(frame))
+	k.owner.bytes.addReceived(m, len(frame))
 	return m, nil
 }
 
@@ -228,7 +233,7 @@
 	switch m := m.(type) {
 	case cassiatally.Ping, cassiatally.Hello:
 	default:
-		k.touch(m)
+		k.recordUse(m)
 		k.owner.Inbound(k.peer, m)
 	}
 }
--- a/node/linker/linker.go
+++ b/node/linker/linker.go
@@ -1,17 +1,17 @@
 // Package linker carries messages between nodes over WebSocket. Two nodes share a
-// link that either of them opens; answers return on the link that the call came
-// on, so that its loss is noticed by the node that waits.
+// link that either of them opens. An answer returns on the link of its call, so that
+// the node that waits for it detects the loss of the link.
 //
-// Each link has two duties: a writer that takes messages from a bounded ring, and
-// a reader that hands messages to Inbound. While somebody waits for an answer on a
-// link, both ends send a Ping when they have nothing else to send, and close the
-// link when nothing arrives for DeadAfter. That finds connections that have gone
-// silent for good. Other links have few heartbeats.
+// Each link has two duties: a writer that takes messages from a bounded ring, and a
+// reader that passes messages to Inbound. While an answer is awaited on a link, both
+// ends send a Ping when they have nothing else to send, and close the link when
+// nothing arrives for DeadAfter. This detects connections that silently drop all
+// data. Other links have few heartbeats.
 //
 // # Usage
 //
 //	l := &linker.Linker{Self: self, Listen: addr, Codec: codec, Inbound: f, ...}
-//	if err := l.Listening(); err != nil { ... }
+//	if err := l.OpenListener(); err != nil { ... }
 //	l.Run()
 //	defer l.Close()
 //	err := l.Send("node-2", cassiatally.Ping{Seq: 1})
@@ -33,39 +33,40 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a link, the first frames included: three round
-	// trips of 110 ms between regions, and a margin. Calls wait for it.
+	// dialTimeout bounds the opening of a link, including the handshake: three round
+	// trips of 110 ms between regions, and a margin. Calls wait while a link is opened.
 	dialTimeout = 500 * time.Millisecond
-	// redialPause is the time from a failed attempt to open a link to the next one. It
-	// doubles up to longestPause. Without it a dead node would cost a dial for each call.
-	redialPause  = 200 * time.Millisecond
-	longestPause = 2 * time.Second
-	// requestIdle and controlIdle are the times without a request and without any
-	// message but heartbeats after which the node that opened a link closes it.
-	// requestIdle exceeds the longest timeout of a request, so that no call is in
-	// flight. Gossip uses the links to its partners every few seconds, and others
-	// seldom.
-	requestIdle = time.Minute
-	controlIdle = 15 * time.Second
-	// quietBeat and quietSilence apply to links on which nobody waits for an answer.
-	// With frequent heartbeats on all links, a node at rest used 3 to 5% of a core, and
-	// heartbeats were most of the frames of a fleet of 80 nodes.
-	quietBeat    = 5 * time.Second
-	quietSilence = 15 * time.Second
-	// stallTime is how late a check of a link may be. After a longer stall of this
-	// process, what has arrived meanwhile is read before a link is judged.
-	stallTime = 100 * time.Millisecond
-	// leastInterval bounds how often a link is looked at.
-	leastInterval = 5 * time.Millisecond
-	// linkPath is where nodes accept links.
+	// minRedialPause is the time from the first failed attempt to open a link to the
+	// next one. The pause doubles up to maxRedialPause. Without it each call to a dead
+	// node would cost a dial.
+	minRedialPause = 200 * time.Millisecond
+	maxRedialPause = 2 * time.Second
+	// The node that opened a link closes it after requestIdleTimeout without a request
+	// and controlIdleTimeout without any other message but heartbeats.
+	// requestIdleTimeout exceeds the longest timeout of a request, so that no call is
+	// in flight. Gossip uses the links to its partners every few seconds, and other
+	// links rarely.
+	requestIdleTimeout = time.Minute
+	controlIdleTimeout = 15 * time.Second
+	// inactiveHeartbeat and inactiveDeadAfter apply to links on which no answer is
+	// awaited. With frequent heartbeats on all links, an idle node used 3 to 5% of a
+	// core, and heartbeats were most of the frames of a fleet of 80 nodes.
+	inactiveHeartbeat = 5 * time.Second
+	inactiveDeadAfter = 15 * time.Second
+	// stallThreshold is how late the timer of a link may fire. After a longer stall of
+	// this process, what has arrived meanwhile is read before the link is checked.
+	stallThreshold = 100 * time.Millisecond
+	// minCheckInterval is the least time between two checks of a link.
+	minCheckInterval = 5 * time.Millisecond
+	// linkPath is the HTTP path at which nodes accept links.
 	linkPath = "/v1/link"
-	// dataCentreHeader names the data centre of the node that opens a link, so that
-	// what stands between two nodes can tell which data centres a link joins.
+	// dataCentreHeader carries the data centre of the node that opens a link, so that a
+	// proxy between two nodes can identify the data centres that the link connects.
 	dataCentreHeader = "Cassiatally-Data-Centre"
-	// nodeHeader names the node that opens a link, for the same reason.
+	// nodeHeader carries the id of the node that opens a link, for the same reason.
 	nodeHeader = "Cassiatally-Node"
-	// shutdownGrace bounds the closing of the HTTP server, on which only links that are
-	// being opened are requests.
+	// shutdownGrace bounds the shutdown of the HTTP server. The only requests that it
+	// waits for are links that are being opened.
 	shutdownGrace = 200 * time.Millisecond
 )
 
@@ -73,27 +74,29 @@
 type Linker struct {
 	Self       cassiatally.NodeRef
 	DataCentre cassiatally.DataCentre
-	// Advertise is the address that other nodes connect to; empty means Listen.
+	// Advertise is the address to which other nodes connect; empty means the address of
+	// the listener.
 	Advertise cassiatally.Address
 	Listen    cassiatally.Address
 	Codec     *protocol.Codec
 	Logger    cassiatally.Logger
 	Heartbeat time.Duration
 	DeadAfter time.Duration
-	// SilentAfter is the time without any message after which a link that carries
-	// requests counts as silent; 0 means never.
+	// SilentAfter is the time without any message after which a link on which an answer
+	// is awaited counts as silent; 0 means never.
 	SilentAfter time.Duration
-	// RingSize bounds the messages that wait to be written to one link.
+	// RingSize is the number of messages that can be queued for one link.
 	RingSize int
-	// AddressOf returns where a node accepts links.
+	// AddressOf returns the address at which a node accepts links.
 	AddressOf func(cassiatally.NodeID) (cassiatally.Address, bool)
-	// Inbound takes each message; it must not block. Messages to the own node go
-	// there directly.
+	// Inbound receives each message; it must not block. Messages that a node sends to
+	// itself are passed to it directly.
 	Inbound func(from cassiatally.NodeRef, m cassiatally.Message)
-	// Lost is called when a link that carried requests has ended.
+	// Lost is called when a link that has carried requests has ended.
 	Lost func(peer cassiatally.NodeRef)
-	// Silent is called when a link that carries requests is silent, and Heard when a
-	// link opens or a silent one is heard again. They must not block; nil is allowed.
+	// Silent is called when a link on which an answer is awaited becomes silent, and
+	// Responding when a link opens or a message arrives on a silent one. They must not
+	// block; nil is allowed.
 	Silent, Heard func(peer cassiatally.NodeRef)
 	// Undelivered is called with each message that was certainly not sent.
 	Undelivered func(to cassiatally.NodeID, m cassiatally.Message)
@@ -105,28 +108,28 @@
 	running  sync.WaitGroup
 	bytes    counters
 
-	mu     sync.Mutex
-	closed bool
-	byNode map[cassiatally.NodeID]*link
-	byAddr map[cassiatally.Address]*link
-	all    map[*link]struct{}
-	failed map[cassiatally.Address]failure
+	mu       sync.Mutex
+	closed   bool
+	byNode   map[cassiatally.NodeID]*link
+	byAddr   map[cassiatally.Address]*link
+	all      map[*link]struct{}
+	failures map[cassiatally.Address]dialFailure
 }
 
 // failure is the last failed attempt to open a link to an address.
-type failure struct {
+type dialFailure struct {
 	at    time.Time
 	pause time.Duration
 }
 
-// Listening opens the listener, so that the address of links is known before the
-// first message can arrive.
+// OpenListener opens the listener, which sets the address of this node before the first
+// message can arrive.
 func (l *Linker) Listening() error {
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	l.byNode = make(map[cassiatally.NodeID]*link)
 	l.byAddr = make(map[cassiatally.Address]*link)
 	l.all = make(map[*link]struct{})
-	l.failed = make(map[cassiatally.Address]failure)
+	l.failures = make(map[cassiatally.Address]dialFailure)
 	lc := net.ListenConfig{}
 	listener, err := lc.Listen(l.ctx, "tcp", string(l.Listen))
 	if err != nil {
@@ -139,7 +142,7 @@
 	return nil
 }
 
-// Run starts to accept links. Listening comes first.
+// Run starts to accept links. OpenListener has to be called first.
 func (l *Linker) Run() {
 	e := echo.New()
 	e.HideBanner = true
@@ -175,9 +178,9 @@
 	l.running.Wait()
 }
 
-// Bytes returns the bytes of frames sent and received so far, without the bodies
-// of calls and answers counted apart.
-func (l *Linker) Bytes() Traffic { return l.bytes.read() }
+// Bytes returns the bytes of frames sent and received so far. The bodies of calls and
+// answers are part of their frames and not counted separately.
+func (l *Linker) Bytes() Traffic { return l.bytes.totals() }
 
 // Links returns the number of open links.
 func (l *Linker) Links() int {
@@ -207,7 +210,7 @@
 		return err
 	}
 	if _, isCall := m.(cassiatally.Call); isCall && k.redialling {
-		// Another endpoint can serve the call while this one is dialled.
+		// Another endpoint can serve the call while this node is dialled.
 		return cassiatally.NewError(cassiatally.KindUnreachable, "node %s could not be reached lately", to)
 	}
 	return k.push(m)
@@ -231,7 +234,7 @@
 	if l.closed {
 		return nil, cassiatally.NewError(cassiatally.KindUnreachable, "the node stops")
 	}
-	f, failed := l.failed[to]
+	f, failed := l.failures[to]
 	if failed && time.Since(f.at) < f.pause {
 		return nil, cassiatally.NewError(cassiatally.KindUnreachable, "address %s could not be reached a moment ago", to)
 	}
@@ -243,7 +246,7 @@
 	return k, nil
 }
 
-// open dials and then serves as the writer of the link.
+// open dials a link and serves it until it ends.
 func (l *Linker) open(k *link) {
 	ctx, cancel := context.WithTimeout(l.ctx, dialTimeout)
 	conn, resp, err := websocket.Dial(ctx, "ws://"+string(k.addr)+linkPath, &websocket.DialOptions{
@@ -254,7 +257,7 @@
 		_ = resp.Body.Close()
 	}
 	if err == nil {
-		err = k.greet(ctx, conn)
+		err = k.handshake(ctx, conn)
 	}
 	if err == nil && k.expected != "" && k.expected != k.peer.Node {
 		err = cassiatally.NewError(cassiatally.KindUnreachable, "node %s answers at the address of node %s", k.peer.Node, k.expected)
@@ -269,15 +272,15 @@
 
 func (l *Linker) dialFailed(k *link, err error) {
 	l.mu.Lock()
-	pause := min(2*l.failed[k.addr].pause, longestPause)
-	l.failed[k.addr] = failure{at: time.Now(), pause: max(pause, redialPause)}
-	if len(l.failed) > maxFailedAddresses {
-		clear(l.failed)
+	pause := min(2*l.failures[k.addr].pause, maxRedialPause)
+	l.failures[k.addr] = dialFailure{at: time.Now(), pause: max(pause, minRedialPause)}
+	if len(l.failures) > maxFailedAddresses {
+		clear(l.failures)
 	}
 	l.mu.Unlock()
 	l.Logger.Debug("link not opened", "address", k.addr, "error", err)
 	k.end("dial failed")
-	l.forget(k)
+	l.remove(k)
 }
 
 // otherLinkActive reports whether another link to the same node carries requests.
@@ -285,14 +288,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for other := range l.all {
-		if other != k && other.served && other.peer.Node == k.peer.Node && !other.quiet() {
+		if other != k && other.established && other.peer.Node == k.peer.Node && !other.unused() {
 			return true
 		}
 	}
 	return false
 }
 
-// maxFailedAddresses bounds the memory of addresses that could not be reached.
+// maxFailedAddresses bounds the number of addresses for which a failure is stored.
 const maxFailedAddresses = 4096
 
 func (l *Linker) accept(c echo.Context) error {
@@ -314,61 +317,61 @@
 	l.mu.Unlock()
 	defer l.running.Done()
 	ctx, cancel := context.WithTimeout(l.ctx, dialTimeout)
-	err = k.greet(ctx, conn)
+	err = k.handshake(ctx, conn)
 	cancel()
 	if err != nil {
 		l.Logger.Warn("link refused", "remote", c.RealIP(), "error", err)
-		k.end("greeting failed")
-		l.forget(k)
+		k.end("handshake failed")
+		l.remove(k)
 		return nil
 	}
 	l.serve(k)
 	return nil
 }
 
-// serve runs reader and writer of an open link until it ends.
+// serve runs the reader and the writer of an established link until it ends.
 func (l *Linker) serve(k *link) {
 	l.mu.Lock()
 	l.byNode[k.peer.Node] = k
-	k.served = true
-	delete(l.failed, k.addr)
+	k.established = true
+	delete(l.failures, k.addr)
 	l.mu.Unlock()
-	l.heard(k)
+	l.notifyResponding(k)
 	l.Logger.Debug("link opened", "peer", k.peer, "address", k.addr)
 	var reader sync.WaitGroup
 	reader.Go(k.read)
 	k.write()
 	reader.Wait()
-	l.forget(k)
+	l.remove(k)
 	l.Logger.Debug("link ended", "peer", k.peer, "reason", k.reason())
 	if k.lastRequest.Load() == 0 {
-		// Nobody waits for an answer on it. A node that dials a wrong address closes such
-		// a link, and the calls on other links to it go on.
+		// No answer is awaited on this link. A node that has dialled a wrong address closes
+		// such a link, while calls on its other links continue.
 		return
 	}
 	l.Lost(k.peer)
 }
 
-func (l *Linker) heard(k *link) {
+func (l *Linker) notifyResponding(k *link) {
 	if l.Heard != nil {
 		l.Heard(k.peer)
 	}
 }
 
-func (l *Linker) silent(k *link) {
+func (l *Linker) notifySilent(k *link) {
 	if l.Silent != nil {
 		l.Silent(k.peer)
 	}
 }
 
-// forget removes an ended link and reports the messages that were not sent.
-func (l *Linker) forget(k *link) {
+// remove removes an ended link and reports the messages that were not sent.
+func (l *Linker) remove(k *link) {
 	l.mu.Lock()
 	delete(l.all, k)
 	if l.byNode[k.peer.Node] == k {
 		delete(l.byNode, k.peer.Node)
 		for other := range l.all {
-			if other.served && other.peer.Node == k.peer.Node {
+			if other.established && other.peer.Node == k.peer.Node {
 				l.byNode[k.peer.Node] = other
 			}
 		}
--- a/node/linker/linker_test.go
+++ b/node/linker/linker_test.go
@@ -20,9 +20,9 @@
 	"github.com/cassiatally/cassiatally/node/linker"
 )
 
-const limit = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// peer is a linker with what it received.
+// peer is a linker that records what it receives and reports.
 type peer struct {
 	*linker.Linker
 	received    chan cassiatally.Message
@@ -31,35 +31,35 @@
 	undelivered chan cassiatally.Message
 }
 
-// event is what a linker tells about a link.
+// event is a change in the state of a link that a linker reports.
 type event string
 
 const (
-	eventHeard  event = "heard"
-	eventSilent event = "silent"
-	eventLost   event = "lost"
+	eventResponding event = "responding"
+	eventSilent     event = "silent"
+	eventLost       event = "lost"
 )
 
-// book tells linkers where nodes accept links.
-type book struct {
+// addressBook has the addresses at which nodes accept links.
+type addressBook struct {
 	mu        sync.Mutex
 	addresses map[cassiatally.NodeID]cassiatally.Address
 }
 
-func (b *book) set(n cassiatally.NodeID, a cassiatally.Address) {
+func (b *addressBook) set(n cassiatally.NodeID, a cassiatally.Address) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.addresses[n] = a
 }
 
-func (b *book) addressOf(n cassiatally.NodeID) (cassiatally.Address, bool) {
+func (b *addressBook) addressOf(n cassiatally.NodeID) (cassiatally.Address, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a, ok := b.addresses[n]
 	return a, ok
 }
 
-func newPeer(t *testing.T, b *book, id cassiatally.NodeID) *peer {
+func newPeer(t *testing.T, b *addressBook, id cassiatally.NodeID) *peer {
 	t.Helper()
 	codec, err := protocol.New()
 	if err != nil {
@@ -87,7 +87,7 @@
 			p.events <- eventLost
 		},
 		Silent:      func(cassiatally.NodeRef) { p.events <- eventSilent },
-		Heard:       func(cassiatally.NodeRef) { p.events <- eventHeard },
+		Heard:       func(cassiatally.NodeRef) { p.events <- eventResponding },
 		Undelivered: func(_ cassiatally.NodeID, m cassiatally.Message) { p.undelivered <- m },
 	}
 	if err := p.Listening(); err != nil {
@@ -103,35 +103,35 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(limit):
+	case <-time.After(testTimeout):
 		t.Fatal("nothing arrived")
 		panic("unreachable")
 	}
 }
 
-// pipe passes bytes between a caller and a target until it is told to swallow
-// them, which is how a connection goes silent for good.
-type pipe struct {
+// proxy copies bytes between a client and a target. While dropping is set it discards
+// them, as on a connection that silently drops all data.
+type proxy struct {
 	listener net.Listener
 	target   string
-	silent   atomic.Bool
+	dropping atomic.Bool
 	running  sync.WaitGroup
 	mu       sync.Mutex
 	open     []net.Conn
 }
 
-func newPipe(t *testing.T, target cassiatally.Address) *pipe {
+func newProxy(t *testing.T, target cassiatally.Address) *proxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &pipe{listener: l, target: string(target)}
+	p := &proxy{listener: l, target: string(target)}
 	p.running.Go(p.accept)
 	return p
 }
 
-func (p *pipe) accept() {
+func (p *proxy) accept() {
 	for {
 		in, err := p.listener.Accept()
 		if err != nil {
@@ -150,20 +150,20 @@
 	}
 }
 
-func (p *pipe) copy(to, from net.Conn) {
+func (p *proxy) copy(to, from net.Conn) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := from.Read(buf)
 		if err != nil {
 			return
 		}
-		if !p.silent.Load() {
+		if !p.dropping.Load() {
 			_, _ = to.Write(buf[:n])
 		}
 	}
 }
 
-func (p *pipe) close() {
+func (p *proxy) close() {
 	_ = p.listener.Close()
 	p.mu.Lock()
 	for _, c := range p.open {
@@ -173,12 +173,12 @@
 	p.running.Wait()
 }
 
-// Guards against messages that get lost or reordered on a link, against answers
-// that need a second connection, and against goroutines that Close leaves behind.
+// Guards against messages that are lost or reordered on a link, against answers that
+// need a second connection, and against goroutines that Close leaks.
 func TestMessagesBothWays(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	is := is.New(t)
-	b := &book{addresses: make(map[cassiatally.NodeID]cassiatally.Address)}
+	b := &addressBook{addresses: make(map[cassiatally.NodeID]cassiatally.Address)}
 	one, two := newPeer(t, b, "one"), newPeer(t, b, "two")
 	defer one.Close()
 	defer two.Close()
@@ -188,56 +188,57 @@
 	for i := range 5 {
 		is.Equal(receive(t, two.received), cassiatally.Message(cassiatally.SheetPull{Have: cassiatally.Version(i)}))
 	}
-	b.set("one", "127.0.0.1:1") // only the open link leads back
+	b.set("one", "127.0.0.1:1") // the answer has to use the open link
 	is.NoErr(two.Send("one", cassiatally.ShardPull{Have: 7}))
 	is.Equal(receive(t, one.received), cassiatally.Message(cassiatally.ShardPull{Have: 7}))
 	is.NoErr(one.Send("one", cassiatally.ShardPull{Have: 8})) // to itself
 	is.Equal(receive(t, one.received), cassiatally.Message(cassiatally.ShardPull{Have: 8}))
 }
 
-// Guards against a link that is taken for alive after its connection has gone
-// silent for good while new connections work.
+// Guards against a link that stays open after its connection has begun to drop all
+// data silently, although new connections work.
 func TestSilentConnection(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	is := is.New(t)
-	b := &book{addresses: make(map[cassiatally.NodeID]cassiatally.Address)}
+	b := &addressBook{addresses: make(map[cassiatally.NodeID]cassiatally.Address)}
 	one, two := newPeer(t, b, "one"), newPeer(t, b, "two")
 	defer one.Close()
 	defer two.Close()
-	silent := newPipe(t, two.Addr())
-	defer silent.close()
-	b.set("two", cassiatally.Address(silent.listener.Addr().String()))
+	dropped := newProxy(t, two.Addr())
+	defer dropped.close()
+	b.set("two", cassiatally.Address(dropped.listener.Addr().String()))
 	is.NoErr(one.Send("two", cassiatally.KeyQuery{Key: "north.0.1.1"}))
 	receive(t, two.received)
-	is.Equal(receive(t, one.events), eventHeard)
-	silent.silent.Store(true)
+	is.Equal(receive(t, one.events), eventResponding)
+	dropped.dropping.Store(true)
 	is.Equal(receive(t, one.lost).Node, cassiatally.NodeID("two"))
-	// The node is told of the silence before the link ends, while its calls have time
-	// left for another endpoint. A busy machine can delay single heartbeats before that.
-	var told []event
-	for len(told) == 0 || told[len(told)-1] != eventLost {
-		told = append(told, receive(t, one.events))
+	// The silence has to be reported before the link ends, while the calls have time left
+	// for another endpoint. Other events may precede it, since a busy machine can delay
+	// single heartbeats.
+	var events []event
+	for len(events) == 0 || events[len(events)-1] != eventLost {
+		events = append(events, receive(t, one.events))
 	}
-	is.True(slices.Contains(told, eventSilent))
+	is.True(slices.Contains(events, eventSilent))
 	is.Equal(receive(t, two.lost).Node, cassiatally.NodeID("one"))
 
-	fresh := newPipe(t, two.Addr())
+	fresh := newProxy(t, two.Addr())
 	defer fresh.close()
 	b.set("two", cassiatally.Address(fresh.listener.Addr().String()))
 	is.NoErr(one.Send("two", cassiatally.SheetPull{Have: 2}))
 	is.Equal(receive(t, two.received), cassiatally.Message(cassiatally.SheetPull{Have: 2}))
 }
 
-// Guards against a message to a dead node that disappears without a report.
+// Guards against a message to a dead node that is dropped without a report.
 func TestUndelivered(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	is := is.New(t)
-	b := &book{addresses: make(map[cassiatally.NodeID]cassiatally.Address)}
+	b := &addressBook{addresses: make(map[cassiatally.NodeID]cassiatally.Address)}
 	one, two := newPeer(t, b, "one"), newPeer(t, b, "two")
 	defer one.Close()
 	two.Close()
-	// A dial that is refused at once is reported by Send itself, a later one
-	// through Undelivered.
+	// A dial that has failed by the time of Send is reported by its error, and a later
+	// failure through Undelivered.
 	if err := one.Send("two", cassiatally.SheetPull{Have: 1}); err == nil {
 		is.Equal(receive(t, one.undelivered), cassiatally.Message(cassiatally.SheetPull{Have: 1}))
 	} else {
@@ -248,12 +249,12 @@
 	is.Equal(cassiatally.KindOf(err), cassiatally.KindUnreachable)
 }
 
-// Guards against calls that wait for the dial of a node that could not be reached
-// lately, while another endpoint could serve them.
+// Guards against calls that wait while a node is dialled to which the last dial failed,
+// although another endpoint could serve them.
 func TestCallToANodeThatWasNotReached(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	is := is.New(t)
-	b := &book{addresses: make(map[cassiatally.NodeID]cassiatally.Address)}
+	b := &addressBook{addresses: make(map[cassiatally.NodeID]cassiatally.Address)}
 	one, two := newPeer(t, b, "one"), newPeer(t, b, "two")
 	defer one.Close()
 	address := two.Addr()
@@ -262,21 +263,21 @@
 	if one.Send("two", call) == nil {
 		is.Equal(receive(t, one.undelivered), cassiatally.Message(call))
 	}
-	// A listener that accepts and says nothing is what a partition looks like.
+	// A listener that never accepts looks like a partition: the dial hangs.
 	l, err := net.Listen("tcp", string(address))
 	is.NoErr(err)
 	defer l.Close()
-	time.Sleep(300 * time.Millisecond) // the pause before the next dial
+	time.Sleep(300 * time.Millisecond) // longer than the pause before the next dial
 	is.Equal(cassiatally.KindOf(one.Send("two", call)), cassiatally.KindUnreachable)
 	is.Equal(len(one.undelivered), 0)
 }
 
-// Guards against a message that reaches another node than the one it is for,
-// after an address has changed hands.
+// Guards against a message that reaches a node other than its destination after that
+// node has taken over the address of the destination.
 func TestAddressOfAnotherNode(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	is := is.New(t)
-	b := &book{addresses: make(map[cassiatally.NodeID]cassiatally.Address)}
+	b := &addressBook{addresses: make(map[cassiatally.NodeID]cassiatally.Address)}
 	one, two := newPeer(t, b, "one"), newPeer(t, b, "two")
 	defer one.Close()
 	defer two.Close()
@@ -287,18 +288,18 @@
 	is.Equal(len(two.received), 0)
 }
 
-// Guards against a peer whose malformed frames disturb the links of others.
+// Guards against malformed frames of one peer that end the links of others.
 func TestMalformedFrames(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	is := is.New(t)
-	b := &book{addresses: make(map[cassiatally.NodeID]cassiatally.Address)}
+	b := &addressBook{addresses: make(map[cassiatally.NodeID]cassiatally.Address)}
 	one, two := newPeer(t, b, "one"), newPeer(t, b, "two")
 	defer one.Close()
 	defer two.Close()
 	is.NoErr(one.Send("two", cassiatally.SheetPull{Have: 1}))
 	receive(t, two.received)
 	for _, frame := range [][]byte{nil, []byte("junk"), {0x83, 9, 2, 0xa0}} {
-		ctx, cancel := context.WithTimeout(context.Background(), limit)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		conn, resp, err := websocket.Dial(ctx, "ws://"+string(two.Addr())+"/v1/link", nil)
 		is.NoErr(err)
 		if resp.Body != nil {
@@ -316,24 +317,25 @@
 	is.Equal(receive(t, two.received), cassiatally.Message(cassiatally.SheetPull{Have: 2}))
 }
 
-// Guards against a node that takes over the address of another one, dials itself
-// under that name, and then gives up the calls to its own backend server.
+// Guards against a node that has taken over the address of another one, dials itself
+// under the id of that one, and then reports its own link as lost, which would fail the
+// calls to its own backend server.
 func TestOwnAddressUnderAnotherName(t *testing.T) {
 	is := is.New(t)
-	b := &book{addresses: map[cassiatally.NodeID]cassiatally.Address{}}
+	b := &addressBook{addresses: map[cassiatally.NodeID]cassiatally.Address{}}
 	a := newPeer(t, b, "a")
 	b.set("before", a.Addr())
 	is.NoErr(a.Send("before", cassiatally.Ping{Seq: 1}))
 	is.Equal(receive(t, a.undelivered), cassiatally.Message(cassiatally.Ping{Seq: 1}))
-	a.Close() // waits for both ends
+	a.Close() // waits for both ends of the link
 	is.Equal(len(a.lost), 0)
 }
 
-// Guards against calls that are given up because the node that runs them dialled
-// this one under the name of another.
+// Guards against calls that fail because the node that runs them dialled this one
+// under the id of another and closed that link again.
 func TestWrongDialEndsNoCalls(t *testing.T) {
 	is := is.New(t)
-	b := &book{addresses: map[cassiatally.NodeID]cassiatally.Address{}}
+	b := &addressBook{addresses: map[cassiatally.NodeID]cassiatally.Address{}}
 	a, c := newPeer(t, b, "a"), newPeer(t, b, "c")
 	defer a.Close()
 	defer c.Close()
@@ -347,13 +349,13 @@
 	is.Equal(len(a.lost), 0)
 }
 
-// Guards against a link that is taken for dead while a call is answered late, and
-// against frequent heartbeats on links on which nobody waits for an answer: with
-// many nodes they were most of the messages.
+// Guards against a link that is ended while a call takes long, and against frequent
+// heartbeats on links on which no answer is awaited: with many nodes they were most of
+// the messages.
 func TestHeartbeatsFollowOpenCalls(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	is := is.New(t)
-	b := &book{addresses: make(map[cassiatally.NodeID]cassiatally.Address)}
+	b := &addressBook{addresses: make(map[cassiatally.NodeID]cassiatally.Address)}
 	one, two := newPeer(t, b, "one"), newPeer(t, b, "two")
 	defer one.Close()
 	defer two.Close()
@@ -366,14 +368,15 @@
 
 	is.NoErr(two.Send("one", cassiatally.Answer{ID: id}))
 	receive(t, one.received)
-	time.Sleep(2 * one.Heartbeat) // one that was due
+	time.Sleep(2 * one.Heartbeat) // a heartbeat may still be due
 	before := heartbeats(one, two)
 	time.Sleep(3 * one.DeadAfter)
 	is.Equal(heartbeats(one, two), before)
 	is.Equal(len(one.lost)+len(two.lost), 0)
 }
 
-// heartbeats returns the bytes that are not of requests.
+// heartbeats returns the bytes of control traffic that the peers have sent. Here they
+// grow by heartbeats only.
 func heartbeats(peers ...*peer) (n uint64) {
 	for _, p := range peers {
 		n += p.Bytes().ControlSent
--- a/node/linker/opencalls.go
+++ b/node/linker/opencalls.go
@@ -7,67 +7,68 @@
 	"github.com/cassiatally/cassiatally/cassiatally"
 )
 
-// openCalls has the calls and queries that went over a link, in either direction,
-// and have no answer yet. Both ends see the same messages, so that they agree on
-// whether somebody waits.
+// openCalls has the calls and queries that were sent over a link, in either direction,
+// and have no answer yet. A link is active while an answer is awaited on it. Both ends
+// see the same messages, so that they agree on whether the link is active.
 type openCalls struct {
 	mu sync.Mutex
-	// since has when each of them went over the link.
-	since map[cassiatally.CallID]time.Time
-	// began is when the first of those that are open went over the link.
-	began time.Time
-	// claimed is when a message between a holder and its standby last went over the
-	// link. Those are numbered in a sequence of their own.
-	claimed time.Time
+	// sentAt has the time at which each of them was sent or received.
+	sentAt map[cassiatally.CallID]time.Time
+	// activeFrom is when the link last became active.
+	activeFrom time.Time
+	// lastClaim is when a message between a holder and its standby was last sent over
+	// the link. These messages have no call id; they are numbered in a sequence of their
+	// own.
+	lastClaim time.Time
 }
 
-// pass records a message that is written or was read, and reports whether the link
-// became active by it.
-func (o *openCalls) pass(now time.Time, m cassiatally.Message) bool {
+// record records a message that is written or was read, and reports whether it made
+// the link active.
+func (o *openCalls) record(now time.Time, m cassiatally.Message) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	was := o.active(now)
+	wasActive := o.active(now)
 	switch m := m.(type) {
 	case cassiatally.Call:
-		o.open(now, m.ID)
+		o.add(now, m.ID)
 	case cassiatally.RunQuery:
-		o.open(now, m.ID)
+		o.add(now, m.ID)
 	case cassiatally.KeyQuery:
-		o.open(now, m.ID)
+		o.add(now, m.ID)
 	case cassiatally.Answer:
-		delete(o.since, m.ID)
+		delete(o.sentAt, m.ID)
 	case cassiatally.ClaimUpdate, cassiatally.ClaimAck, cassiatally.ClaimCopy:
-		o.claimed = now
+		o.lastClaim = now
 	default:
 		return false
 	}
-	if was || !o.active(now) {
+	if wasActive || !o.active(now) {
 		return false
 	}
-	o.began = now
+	o.activeFrom = now
 	return true
 }
 
-func (o *openCalls) open(now time.Time, id cassiatally.CallID) {
-	if o.since == nil {
-		o.since = make(map[cassiatally.CallID]time.Time)
+func (o *openCalls) add(now time.Time, id cassiatally.CallID) {
+	if o.sentAt == nil {
+		o.sentAt = make(map[cassiatally.CallID]time.Time)
 	}
-	o.since[id] = now
+	o.sentAt[id] = now
 }
 
 func (o *openCalls) active(now time.Time) bool {
-	return len(o.since) > 0 || !o.claimed.IsZero() && now.Sub(o.claimed) <= requestIdle
+	return len(o.sentAt) > 0 || !o.lastClaim.IsZero() && now.Sub(o.lastClaim) <= requestIdleTimeout
 }
 
-// activeSince returns since when somebody waits for an answer on the link. Calls
-// whose answer can't come any more are forgotten.
+// activeSince returns since when the link has been active, or false when it is not.
+// It removes calls older than requestIdleTimeout, which get no answer any more.
 func (o *openCalls) activeSince(now time.Time) (time.Time, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for id, at := range o.since {
-		if now.Sub(at) > requestIdle {
-			delete(o.since, id)
+	for id, at := range o.sentAt {
+		if now.Sub(at) > requestIdleTimeout {
+			delete(o.sentAt, id)
 		}
 	}
-	return o.began, o.active(now)
+	return o.activeFrom, o.active(now)
 }
--- a/node/linker/traffic.go
+++ b/node/linker/traffic.go
@@ -6,8 +6,8 @@
 	"github.com/cassiatally/cassiatally/cassiatally"
 )
 
-// Traffic counts bytes of frames. Requests are calls, answers and cancellations;
-// everything else is control traffic.
+// Traffic counts bytes of frames. Calls, answers, cancellations and queries for
+// outcomes are request traffic; everything else is control traffic.
 type Traffic struct {
 	RequestSent, RequestReceived uint64
 	ControlSent, ControlReceived uint64
@@ -18,23 +18,23 @@
 	controlSent, controlReceived atomic.Uint64
 }
 
-func (c *counters) sent(m cassiatally.Message, n int) {
-	if ofRequest(m) {
+func (c *counters) addSent(m cassiatally.Message, n int) {
+	if isRequestTraffic(m) {
 		c.requestSent.Add(uint64(n))
 		return
 	}
 	c.controlSent.Add(uint64(n))
 }
 
-func (c *counters) received(m cassiatally.Message, n int) {
-	if ofRequest(m) {
+func (c *counters) addReceived(m cassiatally.Message, n int) {
+	if isRequestTraffic(m) {
 		c.requestReceived.Add(uint64(n))
 		return
 	}
 	c.controlReceived.Add(uint64(n))
 }
 
-func (c *counters) read() Traffic {
+func (c *counters) totals() Traffic {
 	return Traffic{
 		RequestSent:     c.requestSent.Load(),
 		RequestReceived: c.requestReceived.Load(),
@@ -43,18 +43,18 @@
 	}
 }
 
-// isAwaited reports whether somebody waits for the answer to a message: a caller,
-// or the holder of a shard for its standby.
+// isAwaited reports whether a message belongs to an exchange whose answer is awaited:
+// by a caller, or by the holder of a shard from its standby.
 func isAwaited(m cassiatally.Message) bool {
 	switch m.(type) {
 	case cassiatally.ClaimUpdate, cassiatally.ClaimAck, cassiatally.ClaimCopy:
 		return true
 	default:
-		return ofRequest(m)
+		return isRequestTraffic(m)
 	}
 }
 
-func ofRequest(m cassiatally.Message) bool {
+func isRequestTraffic(m cassiatally.Message) bool {
 	switch m.(type) {
 	case cassiatally.Call, cassiatally.Answer, cassiatally.Cancel, cassiatally.RunQuery, cassiatally.KeyQuery:
 		return true
