--- a/node/claimkeeper/claimkeeper.go
+++ b/node/claimkeeper/claimkeeper.go
@@ -1,5 +1,5 @@
-// Package claimkeeper is the duty that owns the shards of idempotency keys: the
-// claims that this node holds or stands by for, and the shard tables.
+// Package claimkeeper is the duty that owns the shards of idempotency keys: the claims
+// of the shards for which this node is the holder or the standby, and the shard tables.
 //
 // # Usage
 //
@@ -29,16 +29,18 @@
 
 const (
 	inboxSize = 4096
-	// resultReserve keeps places for the results of runs.
-	resultReserve = 1024
-	tickEvery     = 100 * time.Millisecond
-	appendRing    = 64
-	// pullPause bounds how often a table is asked for.
-	pullPause = 500 * time.Millisecond
-	// foreignFresh is how long the table of another data centre is used before it
-	// is asked for again.
-	foreignFresh  = 5 * time.Second
-	lookupTimeout = 2 * time.Second
+	// resultReserve is the inbox space that other messages leave free for the results of
+	// runs.
+	resultReserve  = 1024
+	tickInterval   = 100 * time.Millisecond
+	appendRingSize = 64
+	// minPullInterval is the least time between two requests for the table of a data
+	// centre.
+	minPullInterval = 500 * time.Millisecond
+	// foreignTableTTL is the age at which the table of another data centre is requested
+	// again.
+	foreignTableTTL = 5 * time.Second
+	lookupTimeout   = 2 * time.Second
 )
 
 // Keeper is the duty. Its fields are set before Run.
@@ -57,50 +59,52 @@
 	NextID     func() cassiatally.CallID
 	// Retries is the retry budget of a claimed request.
 	Retries cassiatally.RetryCount
-	// OnEpochs is called by the duty when the shard table changes.
+	// OnEpochs is called by the duty with the sum of epochs when the shard table of the
+	// own data centre changes.
 	OnEpochs func(cassiatally.Epoch)
 
-	inbox   *ring.Ring[event]
-	duty    looper.Looper[event]
-	appends *ring.Ring[cassiatally.Assignment]
-	helpers sync.WaitGroup
-	ctx     context.Context
-	cancel  context.CancelFunc
-	view    atomic.Pointer[shardView]
-	drained atomic.Bool
-	reading bool
-	follows bool
-	// catchUp asks for one read of the log by a node that does not follow it.
-	catchUp  bool
-	members  *registrar.View
-	foreign  map[cassiatally.DataCentre]foreignTable
-	pulledAt map[cassiatally.DataCentre]cassiatally.Instant
-	wanted   sync.Map
-	// holdersLive is whether all shards have a live holder; judged tells that
-	// neither members nor table changed since.
-	holdersLive, judged bool
+	inbox          *ring.Ring[event]
+	duty           looper.Looper[event]
+	appends        *ring.Ring[cassiatally.Assignment]
+	helpers        sync.WaitGroup
+	ctx            context.Context
+	cancel         context.CancelFunc
+	view           atomic.Pointer[shardView]
+	drained        atomic.Bool
+	readInProgress bool
+	followsLog     bool
+	// catchUp requests one read of the log on a node that does not follow it.
+	catchUp       bool
+	members       *registrar.View
+	foreignTables map[cassiatally.DataCentre]foreignTable
+	pulledAt      map[cassiatally.DataCentre]cassiatally.Instant
+	wantedTables  sync.Map
+	// holdersLive is set if all shards have a live holder. holdersChecked is set if
+	// neither the members nor the table has changed since that check.
+	holdersLive, holdersChecked bool
 }
 
 // Run starts the duty, the log reader and the log appender.
 func (k *Keeper) Run() {
 	k.ctx, k.cancel = context.WithCancel(context.Background())
 	k.inbox = ring.New[event](inboxSize, ring.Wait)
-	k.appends = ring.New[cassiatally.Assignment](appendRing, ring.RefuseNewest)
-	k.foreign = make(map[cassiatally.DataCentre]foreignTable)
+	k.appends = ring.New[cassiatally.Assignment](appendRingSize, ring.RefuseNewest)
+	k.foreignTables = make(map[cassiatally.DataCentre]foreignTable)
 	k.pulledAt = make(map[cassiatally.DataCentre]cassiatally.Instant)
-	k.view.Store(&shardView{home: k.DataCentre, own: k.Assigner.Snapshot()})
+	k.view.Store(&shardView{ownDataCentre: k.DataCentre, own: k.Assigner.Snapshot()})
 	k.duty = looper.Looper[event]{
 		Clock:    k.Clock,
 		Inbox:    k.inbox,
 		Handle:   func(now cassiatally.Instant, e event) { e.apply(k, now) },
 		Tick:     k.tick,
-		Interval: tickEvery,
+		Interval: tickInterval,
 	}
 	k.duty.Run()
 	k.helpers.Go(k.serveAppends)
 }
 
-// Refused returns how many messages found no room in the inbox.
+// Refused returns the number of messages that were dropped because the inbox was
+// full.
 func (k *Keeper) Refused() uint64 {
 	refused, _ := k.inbox.LossCounts()
 	return refused
@@ -114,13 +118,15 @@
 	k.duty.Close()
 }
 
-// Shards returns the view of which node holds a shard.
-func (k *Keeper) Shards() cassiatally.ShardView { return k.view.Load().noting(k) }
+// Shards returns a view of the holders of shards in all data centres. A lookup in
+// another data centre causes its table to be requested.
+func (k *Keeper) Shards() cassiatally.ShardView { return k.view.Load().tracked(k) }
 
 // Table returns the assignments of the own data centre.
 func (k *Keeper) Table() []cassiatally.Assignment { return k.view.Load().table }
 
-// Drained reports whether this node holds no shard any more.
+// Drained reports whether this node holds no shard that another member could take
+// over.
 func (k *Keeper) Drained() bool { return k.drained.Load() }
 
 type event interface {
@@ -160,22 +166,21 @@
 	err error
 }
 
-// Message hands over a message from a node. It returns false when the ring is
-// full.
+// Message queues a message from a node. It returns false when the inbox is full.
 func (k *Keeper) Message(from cassiatally.NodeRef, m cassiatally.Message) bool {
 	return k.inbox.Offer(messageEvent{from: from, m: m}, resultReserve)
 }
 
-// Members hands over a new view of the members.
+// SetMembers queues a new view of the members.
 func (k *Keeper) Members(v *registrar.View) { k.inbox.Offer(membersEvent{view: v}, 0) }
 
-// PeerEpochs hands over the sum of epochs that another node of this data centre
-// told.
+// PeerEpochs queues the sum of epochs that another node of this data centre announced.
+// A higher sum than the own one shows that the own shard table is stale.
 func (k *Keeper) PeerEpochs(from cassiatally.NodeRef, sum cassiatally.Epoch) {
 	k.inbox.Offer(epochsEvent{from: from, sum: sum}, 0)
 }
 
-// Drain hands the shards of this node over to their standbys.
+// Drain starts to hand over the shards of this node to their standbys.
 func (k *Keeper) Drain() { k.inbox.Push(k.ctx, drainEvent{}) }
 
 // Mint returns a new key.
@@ -192,7 +197,7 @@
 	}
 }
 
-// Lookup returns what is known about a key.
+// Lookup queries the holder of the key's shard for the outcome of the key.
 func (k *Keeper) Lookup(ctx context.Context, key cassiatally.Key) cassiatally.Answer {
 	parts, err := cassiatally.ParseKey(key)
 	if err != nil {
@@ -219,11 +224,11 @@
 	k.carryOut(now, k.Claimer.Tick(now))
 	k.carryOut(now, k.Assigner.Tick(now))
 	k.followLog()
-	k.pullOwn(now)
+	k.pullOwnTable(now)
 	k.drained.Store(k.Claimer.Drained())
-	k.wanted.Range(func(dc, _ any) bool {
-		k.wanted.Delete(dc)
-		k.pullForeign(now, dc.(cassiatally.DataCentre))
+	k.wantedTables.Range(func(dc, _ any) bool {
+		k.wantedTables.Delete(dc)
+		k.pullForeignTable(now, dc.(cassiatally.DataCentre))
 		return true
 	})
 }
@@ -245,7 +250,7 @@
 	case cassiatally.ShardPull:
 		k.send(e.from.Node, k.Assigner.Table())
 	case cassiatally.ShardTable:
-		k.takeTable(now, m)
+		k.mergeTable(now, m)
 	default:
 	}
 }
@@ -256,13 +261,13 @@
 
 func (e membersEvent) apply(k *Keeper, now cassiatally.Instant) {
 	k.members = e.view
-	k.judged = false
+	k.holdersChecked = false
 	live := liveMembers(e.view, k.DataCentre)
 	k.Assigner.MembersChanged(now, live)
 	k.carryOut(now, k.Claimer.MembersChanged(now, live))
-	k.follows = false
+	k.followsLog = false
 	for _, r := range e.view.LogReaders {
-		k.follows = k.follows || r == k.Self
+		k.followsLog = k.followsLog || r == k.Self
 	}
 }
 
@@ -281,7 +286,7 @@
 }
 
 func (e epochsEvent) apply(k *Keeper, now cassiatally.Instant) {
-	if e.sum > k.Assigner.SumEpochs() && now.Reached(k.pulledAt[k.DataCentre].Add(pullPause)) {
+	if e.sum > k.Assigner.SumEpochs() && now.Reached(k.pulledAt[k.DataCentre].Add(minPullInterval)) {
 		k.pulledAt[k.DataCentre] = now
 		k.send(e.from.Node, cassiatally.ShardPull{Have: k.Assigner.SumEpochs()})
 	}
--- a/node/claimkeeper/stream.go
+++ b/node/claimkeeper/stream.go
@@ -9,13 +9,14 @@
 	return cassiatally.Stream("shards." + string(k.DataCentre))
 }
 
-// followLog starts a read of the log unless one is under way. Only the log
-// readers of the data centre follow the log; the others get tables by gossip.
+// followLog starts a read of the log unless one is in progress. Only the log readers
+// of the data centre follow the log. The other nodes request tables from peers; gossip
+// shows them when theirs is stale.
 func (k *Keeper) followLog() {
-	if k.reading || (!k.follows && !k.catchUp) {
+	if k.readInProgress || (!k.followsLog && !k.catchUp) {
 		return
 	}
-	k.reading = true
+	k.readInProgress = true
 	k.catchUp = false
 	from := k.Assigner.Next()
 	k.helpers.Go(func() {
@@ -25,7 +26,7 @@
 }
 
 func (e batchEvent) apply(k *Keeper, now cassiatally.Instant) {
-	k.reading = false
+	k.readInProgress = false
 	if e.err != nil {
 		k.Logger.Debug("shard assignments not read", "error", e.err)
 		return
@@ -78,7 +79,8 @@
 		return
 	}
 	k.carryOut(now, k.Claimer.AppendDone(now, e.assignment))
-	// The record is not in force before it is read as the winner.
+	// Another node may have appended a record for the same epoch earlier. The record is
+	// in force only when it is read from the log as the winning one.
 	k.catchUp = true
 	k.followLog()
 }
--- a/node/claimkeeper/tables.go
+++ b/node/claimkeeper/tables.go
@@ -4,47 +4,48 @@
 	"github.com/cassiatally/cassiatally/cassiatally"
 )
 
-// foreignTable is the shard table of another data centre, as one of its nodes
-// told it.
+// foreignTable is the shard table of another data centre, as one of its nodes sent
+// it.
 type foreignTable struct {
-	at      cassiatally.Instant
-	holders map[cassiatally.ShardRef]cassiatally.Assignment
+	receivedAt cassiatally.Instant
+	holders    map[cassiatally.ShardRef]cassiatally.Assignment
 }
 
-// shardView answers for the own data centre from the folded log and for others
-// from their tables. It is immutable.
+// shardView has the assignments of the own data centre, from the log, and those of
+// other data centres, from their tables. It is immutable.
 type shardView struct {
-	home    cassiatally.DataCentre
-	own     cassiatally.ShardView
-	foreign map[cassiatally.DataCentre]foreignTable
-	table   []cassiatally.Assignment
+	ownDataCentre cassiatally.DataCentre
+	own           cassiatally.ShardView
+	foreignTables map[cassiatally.DataCentre]foreignTable
+	table         []cassiatally.Assignment
 }
 
-// notingView asks for the table of a data centre when it is used.
-type notingView struct {
+// trackedView is a view that marks the table of another data centre as wanted whenever
+// a lookup needs it, so that the duty requests it.
+type trackedView struct {
 	*shardView
 	keeper *Keeper
 }
 
-func (v *shardView) noting(k *Keeper) cassiatally.ShardView { return notingView{v, k} }
+func (v *shardView) tracked(k *Keeper) cassiatally.ShardView { return trackedView{v, k} }
 
-// HolderOf returns which node holds a shard.
-func (v notingView) HolderOf(s cassiatally.ShardRef) (cassiatally.NodeRef, cassiatally.Epoch, bool) {
-	if s.DataCentre == v.home {
+// HolderOf returns the holder of a shard and its epoch, or false when there is none.
+func (v trackedView) HolderOf(s cassiatally.ShardRef) (cassiatally.NodeRef, cassiatally.Epoch, bool) {
+	if s.DataCentre == v.ownDataCentre {
 		return v.own.HolderOf(s)
 	}
-	v.keeper.wanted.Store(s.DataCentre, struct{}{})
-	as, ok := v.foreign[s.DataCentre].holders[s]
+	v.keeper.wantedTables.Store(s.DataCentre, struct{}{})
+	as, ok := v.foreignTables[s.DataCentre].holders[s]
 	return as.Holder, as.Epoch, ok
 }
 
-// pullForeign asks a member of another data centre for its shard table, unless
-// the one at hand is fresh.
-func (k *Keeper) pullForeign(now cassiatally.Instant, dc cassiatally.DataCentre) {
-	if t, ok := k.foreign[dc]; ok && now.Before(t.at.Add(foreignFresh)) {
+// pullForeignTable requests the shard table of another data centre from one of its
+// members, unless the stored one is younger than foreignTableTTL.
+func (k *Keeper) pullForeignTable(now cassiatally.Instant, dc cassiatally.DataCentre) {
+	if t, ok := k.foreignTables[dc]; ok && now.Before(t.receivedAt.Add(foreignTableTTL)) {
 		return
 	}
-	if k.members == nil || !now.Reached(k.pulledAt[dc].Add(pullPause)) {
+	if k.members == nil || !now.Reached(k.pulledAt[dc].Add(minPullInterval)) {
 		return
 	}
 	members := liveMembers(k.members, dc)
@@ -55,7 +56,7 @@
 	k.send(members[k.Rand.IntN(len(members))].Ref.Node, cassiatally.ShardPull{})
 }
 
-func (k *Keeper) takeTable(now cassiatally.Instant, t cassiatally.ShardTable) {
+func (k *Keeper) mergeTable(now cassiatally.Instant, t cassiatally.ShardTable) {
 	var own []cassiatally.Assignment
 	changed := false
 	for _, as := range t.Assignments {
@@ -63,7 +64,7 @@
 			own = append(own, as)
 			continue
 		}
-		changed = k.adoptForeign(now, as) || changed
+		changed = k.mergeForeign(now, as) || changed
 	}
 	if len(own) > 0 && k.Assigner.Adopt(cassiatally.ShardTable{Assignments: own, Next: t.Next}) {
 		changed = true
@@ -74,23 +75,24 @@
 	}
 }
 
-func (k *Keeper) adoptForeign(now cassiatally.Instant, as cassiatally.Assignment) bool {
-	old := k.foreign[as.Shard.DataCentre]
-	next := foreignTable{at: now, holders: make(map[cassiatally.ShardRef]cassiatally.Assignment, len(old.holders)+1)}
-	for s, known := range old.holders {
-		next.holders[s] = known
+func (k *Keeper) mergeForeign(now cassiatally.Instant, as cassiatally.Assignment) bool {
+	old := k.foreignTables[as.Shard.DataCentre]
+	next := foreignTable{receivedAt: now, holders: make(map[cassiatally.ShardRef]cassiatally.Assignment, len(old.holders)+1)}
+	for s, stored := range old.holders {
+		next.holders[s] = stored
 	}
-	known, ok := next.holders[as.Shard]
-	if !ok || as.Epoch > known.Epoch {
+	stored, ok := next.holders[as.Shard]
+	if !ok || as.Epoch > stored.Epoch {
 		next.holders[as.Shard] = as
 	}
-	k.foreign[as.Shard.DataCentre] = next
+	k.foreignTables[as.Shard.DataCentre] = next
 	return true
 }
 
-// tableChanged passes changes of the own table on to the claimer and to gossip.
+// tableChanged passes changes of the own table to the claimer, to gossip and to the
+// nodes concerned.
 func (k *Keeper) tableChanged(now cassiatally.Instant) {
-	k.judged = false
+	k.holdersChecked = false
 	changed := k.Assigner.Changed()
 	if len(changed) == 0 {
 		return
@@ -100,12 +102,12 @@
 	}
 	k.carryOut(now, k.Claimer.AssignmentsChanged(now, changed))
 	k.OnEpochs(k.Assigner.SumEpochs())
-	k.tellPairs(changed)
+	k.sendToPairs(changed)
 }
 
-// tellPairs passes changed assignments to their holders and standbys at once.
-// Gossip would take a second or more, in which the shard answers nobody.
-func (k *Keeper) tellPairs(changed []cassiatally.Assignment) {
+// sendToPairs sends changed assignments to their holders and standbys at once. Gossip
+// would take a second or more, during which the shard is unavailable.
+func (k *Keeper) sendToPairs(changed []cassiatally.Assignment) {
 	next := k.Assigner.CoveredTo()
 	for _, as := range changed {
 		for _, ref := range []cassiatally.NodeRef{as.Holder, as.Standby} {
@@ -116,13 +118,14 @@
 	}
 }
 
-// pullOwn asks a member for the table of this data centre while this node has
-// none to judge the log by, or while a shard has no holder that is live.
-func (k *Keeper) pullOwn(now cassiatally.Instant) {
-	if k.members == nil || !now.Reached(k.pulledAt[k.DataCentre].Add(pullPause)) {
+// pullOwnTable requests the table of this data centre from a member while this node
+// needs one as the base for records of the log. A node that does not follow the log
+// also requests it while a shard has no live holder.
+func (k *Keeper) pullOwnTable(now cassiatally.Instant) {
+	if k.members == nil || !now.Reached(k.pulledAt[k.DataCentre].Add(minPullInterval)) {
 		return
 	}
-	if !k.Assigner.NeedsTable() && (k.follows || k.allHoldersLive()) {
+	if !k.Assigner.NeedsTable() && (k.followsLog || k.allHoldersLive()) {
 		return
 	}
 	to, ok := k.tableSource()
@@ -133,8 +136,8 @@
 	k.send(to, cassiatally.ShardPull{Have: k.Assigner.SumEpochs()})
 }
 
-// tableSource returns a log reader of the data centre, or any other member when
-// this node is the only reader.
+// tableSource returns another log reader of the data centre, or any other member when
+// there is none.
 func (k *Keeper) tableSource() (cassiatally.NodeID, bool) {
 	for _, refs := range [][]cassiatally.NodeRef{k.members.LogReaders, k.members.Local} {
 		var others []cassiatally.NodeRef
@@ -151,13 +154,13 @@
 }
 
 func (k *Keeper) allHoldersLive() bool {
-	if !k.judged {
-		k.holdersLive, k.judged = k.judgeHolders(), true
+	if !k.holdersChecked {
+		k.holdersLive, k.holdersChecked = k.checkHolders(), true
 	}
 	return k.holdersLive
 }
 
-func (k *Keeper) judgeHolders() bool {
+func (k *Keeper) checkHolders() bool {
 	live := make(map[cassiatally.NodeRef]struct{}, len(k.members.Local))
 	for _, ref := range k.members.Local {
 		live[ref] = struct{}{}
@@ -171,12 +174,12 @@
 	return len(table) > 0
 }
 
-// publish replaces the view that readers use. The maps of foreign tables are
-// never changed after they were published.
+// publish replaces the view that readers use. The maps in foreign tables are never
+// changed after publication.
 func (k *Keeper) publish() {
-	foreign := make(map[cassiatally.DataCentre]foreignTable, len(k.foreign))
-	for dc, t := range k.foreign {
+	foreign := make(map[cassiatally.DataCentre]foreignTable, len(k.foreignTables))
+	for dc, t := range k.foreignTables {
 		foreign[dc] = t
 	}
-	k.view.Store(&shardView{home: k.DataCentre, own: k.Assigner.Snapshot(), foreign: foreign, table: k.Assigner.Table().Assignments})
+	k.view.Store(&shardView{ownDataCentre: k.DataCentre, own: k.Assigner.Snapshot(), foreignTables: foreign, table: k.Assigner.Table().Assignments})
 }
