--- a/node/memberkeeper/memberkeeper.go
+++ b/node/memberkeeper/memberkeeper.go
@@ -22,11 +22,11 @@
 )
 
 const (
-	inboxSize = 1024
-	tickEvery = 100 * time.Millisecond
-	// viewEvery is the time between views while only heartbeats and loads change. A
-	// view of the 972 members that a node keeps at the target size takes 5 ms.
-	viewEvery = time.Second
+	inboxSize    = 1024
+	tickInterval = 100 * time.Millisecond
+	// viewInterval is the time between views while only heartbeats and loads change. A
+	// view of the 972 members that a node stores at the target size takes 5 ms.
+	viewInterval = time.Second
 )
 
 // Keeper is the duty. Its fields are set before Run.
@@ -37,18 +37,18 @@
 	Logger    cassiatally.Logger
 	// OnView is called by the duty with each new view; it must not block.
 	OnView func(*registrar.View)
-	// OnGossip is called by the duty with what gossip carries besides members; it
-	// must not block.
+	// OnGossip is called by the duty with each gossip message, for what it carries
+	// besides members; it must not block.
 	OnGossip func(cassiatally.Gossip)
 
-	inbox *ring.Ring[event]
-	duty  looper.Looper[event]
-	view  atomic.Pointer[registrar.View]
-	known map[cassiatally.NodeID]cassiatally.Incarnation
-	// shown is the count of changes of the last view; nextView is when the next one
-	// is due in any case.
-	shown    uint64
-	nextView cassiatally.Instant
+	inbox         *ring.Ring[event]
+	duty          looper.Looper[event]
+	view          atomic.Pointer[registrar.View]
+	loggedMembers map[cassiatally.NodeID]cassiatally.Incarnation
+	// viewedChanges is the number of changes that the last view includes. nextView is
+	// when the next view is due even without a change.
+	viewedChanges uint64
+	nextView      cassiatally.Instant
 }
 
 type event interface {
@@ -64,30 +64,31 @@
 		endpoint cassiatally.Endpoint
 		crashes  []cassiatally.CrashReport
 	}
-	sheetEvent  struct{ version cassiatally.Version }
-	epochsEvent struct{ sum cassiatally.Epoch }
-	leaveEvent  struct{}
-	foundEvent  struct{ members []cassiatally.Member }
+	versionEvent     struct{ version cassiatally.Version }
+	epochsEvent      struct{ sum cassiatally.Epoch }
+	leaveEvent       struct{}
+	mergeStoredEvent struct{ members []cassiatally.Member }
 )
 
-// Open makes the inbox, so that duties which start earlier can hand over events.
+// Open makes the inbox, so that duties that start earlier can queue events.
 func (k *Keeper) Open() { k.inbox = ring.New[event](inboxSize, ring.RefuseNewest) }
 
-// Run starts the duty. Open comes first.
+// Run starts the duty. Open has to be called first.
 func (k *Keeper) Run() {
-	k.known = make(map[cassiatally.NodeID]cassiatally.Incarnation)
+	k.loggedMembers = make(map[cassiatally.NodeID]cassiatally.Incarnation)
 	k.view.Store(k.Registrar.View(k.Clock.Now()))
 	k.duty = looper.Looper[event]{
 		Clock:    k.Clock,
 		Inbox:    k.inbox,
 		Handle:   func(now cassiatally.Instant, e event) { e.apply(k, now) },
 		Tick:     k.tick,
-		Interval: tickEvery,
+		Interval: tickInterval,
 	}
 	k.duty.Run()
 }
 
-// Refused returns how many messages found no room in the inbox.
+// Refused returns the number of messages that were dropped because the inbox was
+// full.
 func (k *Keeper) Refused() uint64 {
 	refused, _ := k.inbox.LossCounts()
 	return refused
@@ -99,7 +100,8 @@
 // View returns the latest view.
 func (k *Keeper) View() *registrar.View { return k.view.Load() }
 
-// AddressOf returns where a node accepts links.
+// AddressOf returns the address at which a node accepts links, or false when it is
+// unknown.
 func (k *Keeper) AddressOf(n cassiatally.NodeID) (cassiatally.Address, bool) {
 	v := k.view.Load()
 	if v == nil {
@@ -108,42 +110,44 @@
 	return v.Address(n)
 }
 
-// Gossip hands over gossip from a node.
+// Gossip queues gossip from a node.
 func (k *Keeper) Gossip(from cassiatally.NodeRef, g cassiatally.Gossip) {
 	k.inbox.Offer(gossipEvent{from: from, gossip: g}, 0)
 }
 
-// Endpoint hands over the state of the local backend server.
+// SetEndpoint queues the endpoint and the crash reports of this node, which gossip
+// announces to other nodes.
 func (k *Keeper) Endpoint(e cassiatally.Endpoint, crashes []cassiatally.CrashReport) {
 	k.inbox.Offer(endpointEvent{endpoint: e, crashes: crashes}, 0)
 }
 
-// Sheet hands over the version in force on this node.
-func (k *Keeper) Sheet(v cassiatally.Version) { k.inbox.Offer(sheetEvent{version: v}, 0) }
+// SetVersion queues the version of the sheet or route table in force on this node.
+func (k *Keeper) Sheet(v cassiatally.Version) { k.inbox.Offer(versionEvent{version: v}, 0) }
 
-// ShardEpochs hands over the sum of the epochs of the shard table.
+// SetShardEpochs queues the sum of the epochs of this node's shard table.
 func (k *Keeper) ShardEpochs(sum cassiatally.Epoch) { k.inbox.Offer(epochsEvent{sum: sum}, 0) }
 
-// Found hands over members that a store knows.
+// MergeStored queues members that were loaded from the member store.
 func (k *Keeper) Found(members []cassiatally.Member) {
-	k.inbox.Offer(foundEvent{members: members}, 0)
+	k.inbox.Offer(mergeStoredEvent{members: members}, 0)
 }
 
-// Leave tells other nodes that this one stops.
+// Leave announces to other nodes that this one is shutting down.
 func (k *Keeper) Leave() { k.inbox.Offer(leaveEvent{}, 0) }
 
 func (k *Keeper) tick(now cassiatally.Instant) {
 	k.carryOut(k.Registrar.Tick(now))
-	if k.Registrar.Changes() != k.shown || now.Reached(k.nextView) {
-		k.show(now)
+	if k.Registrar.Changes() != k.viewedChanges || now.Reached(k.nextView) {
+		k.publishView(now)
 	}
 }
 
-// show makes a view and passes it on.
-func (k *Keeper) show(now cassiatally.Instant) {
-	changed := k.Registrar.Changes() != k.shown
-	k.shown = k.Registrar.Changes()
-	k.nextView = now.Add(viewEvery)
+// publishView makes a view of the member table, stores it for readers and passes it to
+// OnView.
+func (k *Keeper) publishView(now cassiatally.Instant) {
+	changed := k.Registrar.Changes() != k.viewedChanges
+	k.viewedChanges = k.Registrar.Changes()
+	k.nextView = now.Add(viewInterval)
 	v := k.Registrar.View(now)
 	k.view.Store(v)
 	if changed {
@@ -152,20 +156,21 @@
 	k.OnView(v)
 }
 
-// logChanges writes a line for each member that came, returned or was removed.
+// logChanges logs each member that has joined, restarted or been removed since the
+// last call.
 func (k *Keeper) logChanges(v *registrar.View) {
 	seen := make(map[cassiatally.NodeID]struct{}, len(v.Members))
 	for i := range v.Members {
 		ref := v.Members[i].Ref
 		seen[ref.Node] = struct{}{}
-		if k.known[ref.Node] != ref.Incarnation {
-			k.known[ref.Node] = ref.Incarnation
+		if k.loggedMembers[ref.Node] != ref.Incarnation {
+			k.loggedMembers[ref.Node] = ref.Incarnation
 			k.Logger.Info("member joined", "member", ref, "data_centre", v.Members[i].DataCentre)
 		}
 	}
-	for n := range k.known {
+	for n := range k.loggedMembers {
 		if _, ok := seen[n]; !ok {
-			delete(k.known, n)
+			delete(k.loggedMembers, n)
 			k.Logger.Info("member removed", "member", n)
 		}
 	}
@@ -181,15 +186,15 @@
 	k.carryOut(k.Registrar.SetCrashes(e.crashes))
 }
 
-func (e sheetEvent) apply(k *Keeper, now cassiatally.Instant) {
+func (e versionEvent) apply(k *Keeper, now cassiatally.Instant) {
 	k.carryOut(k.Registrar.SetSheetVersion(now, e.version))
 }
 
 func (e epochsEvent) apply(k *Keeper, _ cassiatally.Instant) { k.Registrar.SetShardEpochs(e.sum) }
 
-func (e foundEvent) apply(k *Keeper, now cassiatally.Instant) {
+func (e mergeStoredEvent) apply(k *Keeper, now cassiatally.Instant) {
 	actions := k.Registrar.MergeStored(now, e.members)
-	k.show(now) // the links of the introductions need the addresses
+	k.publishView(now) // sending the introductions needs the addresses of the new members
 	k.carryOut(actions)
 }
 
