--- a/node/sheetkeeper/sheetkeeper.go
+++ b/node/sheetkeeper/sheetkeeper.go
@@ -1,6 +1,6 @@
-// Package sheetkeeper is the duty that owns the sheet in force on a node: it
-// follows the log, exchanges records with other nodes, and publishes the policies
-// of the sheet to readers.
+// Package sheetkeeper is the duty that owns the sheet in force on a node: it follows
+// the log, exchanges sheet records with other nodes, and provides the policies of the
+// sheet to readers.
 //
 // # Usage
 //
@@ -30,11 +30,12 @@
 
 const (
 	inboxSize = 256
-	// batchReserve keeps places for what the log answers.
-	batchReserve = 32
-	tickEvery    = 100 * time.Millisecond
-	appendRing   = 8
-	// sheetName names the sheet of the log in problems.
+	// batchReserve is the inbox space that other messages leave free for batches from the
+	// log.
+	batchReserve   = 32
+	tickInterval   = 100 * time.Millisecond
+	appendRingSize = 8
+	// sheetName is the file name that problems of a sheet from the log have.
 	sheetName = "sheet.csv"
 )
 
@@ -51,16 +52,16 @@
 	// not block.
 	OnSheet func(*ranker.Ranker)
 
-	inbox   *ring.Ring[event]
-	duty    looper.Looper[event]
-	appends *ring.Ring[cassiatally.SheetRecord]
-	helpers sync.WaitGroup
-	ctx     context.Context
-	cancel  context.CancelFunc
-	ranks   atomic.Pointer[ranker.Ranker]
-	follows atomic.Bool
-	// contact is when the log last answered; zero for never.
-	contact atomic.Int64
+	inbox      *ring.Ring[event]
+	duty       looper.Looper[event]
+	appends    *ring.Ring[cassiatally.SheetRecord]
+	helpers    sync.WaitGroup
+	ctx        context.Context
+	cancel     context.CancelFunc
+	inForce    atomic.Pointer[ranker.Ranker]
+	followsLog atomic.Bool
+	// lastContact is when the log last answered; 0 for never.
+	lastContact atomic.Int64
 }
 
 type event interface {
@@ -87,19 +88,20 @@
 func (k *Keeper) Run() {
 	k.ctx, k.cancel = context.WithCancel(context.Background())
 	k.inbox = ring.New[event](inboxSize, ring.Wait)
-	k.appends = ring.New[cassiatally.SheetRecord](appendRing, ring.RefuseNewest)
+	k.appends = ring.New[cassiatally.SheetRecord](appendRingSize, ring.RefuseNewest)
 	k.duty = looper.Looper[event]{
 		Clock:    k.Clock,
 		Inbox:    k.inbox,
 		Handle:   func(now cassiatally.Instant, e event) { e.apply(k, now) },
 		Tick:     func(now cassiatally.Instant) { k.carryOut(k.Follower.Tick(now)) },
-		Interval: tickEvery,
+		Interval: tickInterval,
 	}
 	k.duty.Run()
 	k.helpers.Go(k.serveAppends)
 }
 
-// Refused returns how many messages found no room in the inbox.
+// Refused returns the number of messages that were dropped because the inbox was
+// full.
 func (k *Keeper) Refused() uint64 {
 	refused, _ := k.inbox.LossCounts()
 	return refused
@@ -113,42 +115,41 @@
 	k.duty.Close()
 }
 
-// Policies returns the policies of the sheet in force, or false when there is
-// none yet.
+// Policies returns the policies of the sheet in force, or false before the first sheet.
 func (k *Keeper) Policies() (cassiatally.Policies, bool) {
-	r := k.ranks.Load()
+	r := k.inForce.Load()
 	return r, r != nil
 }
 
-// Version returns the version in force.
+// Version returns the version of the sheet in force, 0 before the first sheet.
 func (k *Keeper) Version() cassiatally.Version {
-	if r := k.ranks.Load(); r != nil {
+	if r := k.inForce.Load(); r != nil {
 		return r.Version()
 	}
 	return 0
 }
 
-// LogContact returns the time since the log last answered, negative for never,
-// and whether this node follows the log.
+// LogContact returns the time since the log last answered, which is negative if it
+// never has, and whether this node follows the log.
 func (k *Keeper) LogContact() (time.Duration, bool) {
-	at := cassiatally.Instant(k.contact.Load())
+	at := cassiatally.Instant(k.lastContact.Load())
 	if at == 0 {
-		return -1, k.follows.Load()
+		return -1, k.followsLog.Load()
 	}
-	return k.Clock.Now().Sub(at), k.follows.Load()
+	return k.Clock.Now().Sub(at), k.followsLog.Load()
 }
 
-// Message hands over a message from a node.
+// Message queues a message from a node.
 func (k *Keeper) Message(from cassiatally.NodeRef, m cassiatally.Message) {
 	k.inbox.Offer(messageEvent{from: from, m: m}, batchReserve)
 }
 
-// PeerVersion hands over the version that another node has in force.
+// PeerVersion queues the version of the sheet in force on another node.
 func (k *Keeper) PeerVersion(from cassiatally.NodeRef, v cassiatally.Version) {
 	k.inbox.Offer(versionEvent{from: from, version: v}, batchReserve)
 }
 
-// Members hands over a new view of the members.
+// SetMembers queues a new view of the members.
 func (k *Keeper) Members(v *registrar.View) {
 	k.inbox.Offer(membersEvent{view: v}, batchReserve)
 }
@@ -168,7 +169,7 @@
 }
 
 func (e membersEvent) apply(k *Keeper, now cassiatally.Instant) {
-	k.follows.Store(slices.Contains(e.view.LogReaders, k.Self))
+	k.followsLog.Store(slices.Contains(e.view.LogReaders, k.Self))
 	k.carryOut(k.Follower.MembersChanged(now, e.view.LogReaders))
 }
 
@@ -178,11 +179,11 @@
 		k.carryOut(k.Follower.ReadFailed(now))
 		return
 	}
-	k.contact.Store(int64(now))
-	k.carryOut(k.Follower.HandleBatch(now, k.decode(e.batch)))
+	k.lastContact.Store(int64(now))
+	k.carryOut(k.Follower.HandleBatch(now, k.decodeBatch(e.batch)))
 }
 
-func (k *Keeper) decode(b cassiatally.Batch) follower.Batch {
+func (k *Keeper) decodeBatch(b cassiatally.Batch) follower.Batch {
 	out := follower.Batch{First: b.Oldest, Next: b.Next}
 	for _, r := range b.Records {
 		entry := follower.Record{Offset: r.Offset, Expires: r.Expires}
@@ -205,7 +206,7 @@
 				k.Logger.Debug("sheet message not sent", "to", a.To, "error", err)
 			}
 		case cassiatally.ReadLog:
-			k.read(a)
+			k.readLog(a)
 		case cassiatally.AppendSheet:
 			k.appends.Offer(a.Record, 0)
 		case cassiatally.AdoptSheet:
@@ -215,8 +216,8 @@
 	}
 }
 
-// adopt puts a sheet in force. A sheet that does not parse was not published by
-// the operators' tool; the one in force stays.
+// adopt puts a sheet in force. The operators' tool publishes only sheets that parse. If
+// one does not, the sheet in force stays.
 func (k *Keeper) adopt(record cassiatally.SheetRecord) {
 	parser := sheetparser.Parser{}
 	rows, problems := parser.Parse(sheetName, record.Sheet)
@@ -229,6 +230,6 @@
 		k.Logger.Error("accepted sheet cannot be used; the one in force stays", "version", record.Version, "error", err)
 		return
 	}
-	k.ranks.Store(r)
+	k.inForce.Store(r)
 	k.OnSheet(r)
 }
