--- a/node/routekeeper/routekeeper.go
+++ b/node/routekeeper/routekeeper.go
@@ -1,7 +1,6 @@
-// Package routekeeper is the duty that keeps the route table in force on a node.
-// It follows the source where operators publish tables, asks other nodes for a
-// table that they have and this node has not, and answers when they ask. The
-// version only grows while the node runs.
+// Package routekeeper is the duty that owns the route table in force on a node. It
+// follows the source to which operators publish tables, pulls newer tables from other
+// nodes, and answers their pulls. The version never decreases while the node runs.
 //
 // # Usage
 //
@@ -24,14 +23,14 @@
 )
 
 const (
-	inboxSize = 256
-	tickEvery = time.Second
-	// firstPause and longestPause bound the time between attempts to read the source
-	// while it is away.
-	firstPause   = 100 * time.Millisecond
-	longestPause = time.Second
-	// pullPause is the least time between two requests for the same version.
-	pullPause = 200 * time.Millisecond
+	inboxSize    = 256
+	tickInterval = time.Second
+	// minRetryPause and maxRetryPause bound the pause between attempts to read the source
+	// while it is unavailable.
+	minRetryPause = 100 * time.Millisecond
+	maxRetryPause = time.Second
+	// minPullInterval is the least time between two pulls of the same version.
+	minPullInterval = 200 * time.Millisecond
 )
 
 // Keeper is the duty. Its fields are set before Run.
@@ -44,14 +43,14 @@
 	// not block.
 	OnTable func(*matcher.Matcher)
 
-	inbox   *ring.Ring[event]
-	duty    looper.Looper[event]
-	follow  sync.WaitGroup
-	ctx     context.Context
-	cancel  context.CancelFunc
-	routes  atomic.Pointer[matcher.Matcher]
-	asked   cassiatally.Version
-	askedAt cassiatally.Instant
+	inbox         *ring.Ring[event]
+	duty          looper.Looper[event]
+	reader        sync.WaitGroup
+	ctx           context.Context
+	cancel        context.CancelFunc
+	routes        atomic.Pointer[matcher.Matcher]
+	pulledVersion cassiatally.Version
+	pulledAt      cassiatally.Instant
 }
 
 type event interface {
@@ -61,14 +60,14 @@
 type (
 	tableEvent struct {
 		table cassiatally.RouteTable
-		// from names the node that passed the table on; empty for the source.
+		// from is the node that sent the table; empty for the source.
 		from cassiatally.NodeID
 	}
 	pullEvent struct {
 		from cassiatally.NodeID
 		have cassiatally.Version
 	}
-	peerEvent struct {
+	peerVersionEvent struct {
 		from    cassiatally.NodeID
 		version cassiatally.Version
 	}
@@ -83,16 +82,16 @@
 		Inbox:    k.inbox,
 		Handle:   func(now cassiatally.Instant, e event) { e.apply(k, now) },
 		Tick:     func(cassiatally.Instant) {},
-		Interval: tickEvery,
+		Interval: tickInterval,
 	}
 	k.duty.Run()
-	k.follow.Go(k.readSource)
+	k.reader.Go(k.readSource)
 }
 
 // Close stops the reader and the duty and waits for both.
 func (k *Keeper) Close() {
 	k.cancel()
-	k.follow.Wait()
+	k.reader.Wait()
 	k.duty.Close()
 }
 
@@ -110,13 +109,14 @@
 	return 0
 }
 
-// Refused returns how many messages found no room in the inbox.
+// Refused returns the number of messages that were dropped because the inbox was
+// full.
 func (k *Keeper) Refused() uint64 {
 	refused, _ := k.inbox.LossCounts()
 	return refused
 }
 
-// Message hands over a message of another node.
+// Message queues a message from another node.
 func (k *Keeper) Message(from cassiatally.NodeRef, m cassiatally.Message) {
 	switch m := m.(type) {
 	case cassiatally.RoutePull:
@@ -127,31 +127,32 @@
 	}
 }
 
-// PeerVersion hands over the version in force on another node.
+// PeerVersion queues the version in force on another node if it is newer than the own
+// one.
 func (k *Keeper) PeerVersion(from cassiatally.NodeRef, v cassiatally.Version) {
 	if v > k.Version() {
-		k.inbox.Offer(peerEvent{from: from.Node, version: v}, 0)
+		k.inbox.Offer(peerVersionEvent{from: from.Node, version: v}, 0)
 	}
 }
 
 // readSource is the duty that waits for new tables at the source.
 func (k *Keeper) readSource() {
-	pause := firstPause
-	away := false
+	pause := minRetryPause
+	lost := false
 	for {
 		table, err := k.Source.Next(k.ctx)
 		switch {
 		case k.ctx.Err() != nil:
 			return
 		case err == nil:
-			if away {
+			if lost {
 				k.Logger.Info("route source regained", "version", table.Version)
 			}
-			away, pause = false, firstPause
+			lost, pause = false, minRetryPause
 			k.inbox.Push(k.ctx, tableEvent{table: table})
 			continue
-		case !away:
-			away = true
+		case !lost:
+			lost = true
 			k.Logger.Warn("route source lost", "error", err)
 		}
 		select {
@@ -159,7 +160,7 @@
 		case <-k.ctx.Done():
 			return
 		}
-		pause = min(2*pause, longestPause)
+		pause = min(2*pause, maxRetryPause)
 	}
 }
 
@@ -170,11 +171,11 @@
 	}
 	m := matcher.New(e.table)
 	k.routes.Store(m)
-	k.Logger.Info("route table in force", "version", e.table.Version, "before", v, "routes", len(e.table.Routes), "from", source(e.from))
+	k.Logger.Info("route table in force", "version", e.table.Version, "before", v, "routes", len(e.table.Routes), "from", senderName(e.from))
 	k.OnTable(m)
 }
 
-func source(n cassiatally.NodeID) string {
+func senderName(n cassiatally.NodeID) string {
 	if n == "" {
 		return "source"
 	}
@@ -191,13 +192,13 @@
 	}
 }
 
-func (e peerEvent) apply(k *Keeper, now cassiatally.Instant) {
+func (e peerVersionEvent) apply(k *Keeper, now cassiatally.Instant) {
 	v := k.Version()
-	if e.version <= v || (k.asked >= e.version && now.Sub(k.askedAt) < pullPause) {
+	if e.version <= v || (k.pulledVersion >= e.version && now.Sub(k.pulledAt) < minPullInterval) {
 		return
 	}
-	k.asked, k.askedAt = e.version, now
+	k.pulledVersion, k.pulledAt = e.version, now
 	if err := k.Transport.Send(e.from, cassiatally.RoutePull{Have: v}); err != nil {
-		k.Logger.Debug("route table not asked for", "from", e.from, "error", err)
+		k.Logger.Debug("route table not requested", "from", e.from, "error", err)
 	}
 }
