--- a/node/instancekeeper/instancekeeper.go
+++ b/node/instancekeeper/instancekeeper.go
@@ -1,5 +1,5 @@
-// Package instancekeeper is the duty that knows the backend server of the node's
-// host: which instance is behind its address, and in which state.
+// Package instancekeeper is the duty that tracks the backend server of the node's host:
+// which instance is behind its address, and in which state.
 //
 // # Usage
 //
@@ -24,13 +24,14 @@
 
 const (
 	inboxSize    = 64
-	tickEvery    = time.Second
+	tickInterval = time.Second
 	probeTimeout = time.Second
-	// trustAfter is the number of reports after which a node that was restarted
-	// believes an instance whose health check does not confirm it.
-	trustAfter = 3
-	// mostProbes bounds the health checks after a restart that no report asked for.
-	mostProbes = 5
+	// acceptAfterReports is the number of reports after which a restarted node accepts an
+	// instance that no health check has confirmed.
+	acceptAfterReports = 3
+	// maxStartupProbes bounds the health checks that a restarted node makes without a
+	// report.
+	maxStartupProbes = 5
 )
 
 // Keeper is the duty. Its fields are set before Run.
@@ -43,8 +44,8 @@
 	// Service and Address are where the settings expect the backend server.
 	Service cassiatally.Service
 	Address cassiatally.Address
-	// Restarted tells that the host ran a node before. The backend server may then
-	// be running, and what it told the earlier node is not known.
+	// Restarted is set if the host ran a node before. The backend server may then be
+	// running, and its reports to the earlier node are lost.
 	Restarted bool
 
 	inbox   *ring.Ring[event]
@@ -54,15 +55,16 @@
 	cancel  context.CancelFunc
 	routes  *matcher.Matcher
 	service atomic.Pointer[cassiatally.Service]
-	// confirmed is the instance that was confirmed since the node started, and doubt
-	// counts the reports of one that was not.
-	confirmed cassiatally.InstanceID
-	doubt     map[cassiatally.InstanceID]int
-	// probes counts the health checks that no report asked for, and probing is set
-	// while one of them is under way.
-	probes  int
-	probing bool
-	// pending is the last report that waits for the health check.
+	// confirmed is the last instance that was confirmed since the node started.
+	// unconfirmed counts the reports of each instance that was not.
+	confirmed   cassiatally.InstanceID
+	unconfirmed map[cassiatally.InstanceID]int
+	// startupProbes counts the health checks that were made without a report, and
+	// startupProbing is set while one of them is in progress.
+	startupProbes  int
+	startupProbing bool
+	// pending is the last report that was not accepted because its instance has to be
+	// confirmed by a health check first.
 	pending cassiatally.InstanceReport
 }
 
@@ -75,7 +77,7 @@
 		report cassiatally.InstanceReport
 		done   chan struct{}
 	}
-	leftEvent struct {
+	deregisterEvent struct {
 		id   cassiatally.InstanceID
 		done chan struct{}
 	}
@@ -94,7 +96,7 @@
 func (k *Keeper) Run() {
 	k.ctx, k.cancel = context.WithCancel(context.Background())
 	k.inbox = ring.New[event](inboxSize, ring.Wait)
-	k.doubt = make(map[cassiatally.InstanceID]int)
+	k.unconfirmed = make(map[cassiatally.InstanceID]int)
 	service := k.Service
 	k.service.Store(&service)
 	k.duty = looper.Looper[event]{
@@ -102,7 +104,7 @@
 		Inbox:    k.inbox,
 		Handle:   func(now cassiatally.Instant, e event) { e.apply(k, now) },
 		Tick:     func(cassiatally.Instant) { k.probeExpected() },
-		Interval: tickEvery,
+		Interval: tickInterval,
 	}
 	k.duty.Run()
 }
@@ -117,25 +119,24 @@
 // LocalService returns the service of the backend server of this host.
 func (k *Keeper) LocalService() cassiatally.Service { return *k.service.Load() }
 
-// Report hands over what an instance says about itself and waits until it is in
-// force on this node.
+// Report queues the report of an instance and waits until it is processed.
 func (k *Keeper) Report(ctx context.Context, r cassiatally.InstanceReport) bool {
 	done := make(chan struct{})
 	return k.inbox.Push(ctx, reportEvent{report: r, done: done}) && await(ctx, done)
 }
 
-// Left hands over that an instance leaves and waits until that is in force.
+// Deregister queues that an instance leaves and waits until that is processed.
 func (k *Keeper) Left(ctx context.Context, id cassiatally.InstanceID) bool {
 	done := make(chan struct{})
-	return k.inbox.Push(ctx, leftEvent{id: id, done: done}) && await(ctx, done)
+	return k.inbox.Push(ctx, deregisterEvent{id: id, done: done}) && await(ctx, done)
 }
 
-// Expect hands over where the settings expect the backend server.
+// Expect queues a change of the service and the address in the settings.
 func (k *Keeper) Expect(s cassiatally.Service, a cassiatally.Address) {
 	k.inbox.Push(k.ctx, expectEvent{service: s, address: a})
 }
 
-// Routes hands over the routes in force.
+// SetRoutes queues the routes in force.
 func (k *Keeper) Routes(m *matcher.Matcher) { k.inbox.Push(k.ctx, routesEvent{routes: m}) }
 
 func await(ctx context.Context, done chan struct{}) bool {
@@ -149,7 +150,7 @@
 
 func (e reportEvent) apply(k *Keeper, now cassiatally.Instant) {
 	defer close(e.done)
-	if !k.believes(e.report) {
+	if !k.accepts(e.report) {
 		return
 	}
 	before, _ := k.Tracker.Current()
@@ -163,15 +164,15 @@
 	k.announce()
 }
 
-// believes reports whether a report may be used. A restarted node has to confirm a
-// ready instance first, since the report may have been sent before the instance
-// told the earlier node that it leaves.
-func (k *Keeper) believes(r cassiatally.InstanceReport) bool {
+// accepts reports whether a report may be used. A restarted node has to confirm a ready
+// instance first: the report may have been sent before the instance deregistered at the
+// earlier node. If not, it starts a health check of the instance.
+func (k *Keeper) accepts(r cassiatally.InstanceReport) bool {
 	if !k.Restarted || r.State != cassiatally.EndpointReady || r.Instance == k.confirmed {
 		return true
 	}
-	k.doubt[r.Instance]++
-	if k.doubt[r.Instance] >= trustAfter {
+	k.unconfirmed[r.Instance]++
+	if k.unconfirmed[r.Instance] >= acceptAfterReports {
 		k.confirmed = r.Instance
 		return true
 	}
@@ -180,7 +181,7 @@
 	return false
 }
 
-func (e leftEvent) apply(k *Keeper, now cassiatally.Instant) {
+func (e deregisterEvent) apply(k *Keeper, now cassiatally.Instant) {
 	defer close(e.done)
 	if k.Tracker.RecordLeave(now, e.id) {
 		k.Logger.Info("instance left", "instance", e.id)
@@ -194,29 +195,29 @@
 	k.announce()
 }
 
-// probeExpected checks, after a restart, the health of the backend server that the
-// settings expect, until one is known. A check may fail because it comes too early or
-// waits for a slot.
+// probeExpected checks, after a restart, the health of the backend server in the
+// settings until there is a current instance. It repeats the check, since one may fail
+// because the backend server is still starting or the check has to wait for a slot.
 func (k *Keeper) probeExpected() {
-	_, known := k.Tracker.Current()
-	if !k.Restarted || known || k.probing || k.routes == nil || k.probes >= mostProbes {
+	_, hasCurrent := k.Tracker.Current()
+	if !k.Restarted || hasCurrent || k.startupProbing || k.routes == nil || k.startupProbes >= maxStartupProbes {
 		return
 	}
 	if k.probe(k.Address, k.Service) {
-		k.probes++
-		k.probing = true
+		k.startupProbes++
+		k.startupProbing = true
 	}
 }
 
 func (e expectEvent) apply(k *Keeper, _ cassiatally.Instant) {
 	k.Service, k.Address = e.service, e.address
-	if _, known := k.Tracker.Current(); !known {
+	if _, hasCurrent := k.Tracker.Current(); !hasCurrent {
 		service := e.service
 		k.service.Store(&service)
 	}
 }
 
-// announce passes the instance in place to the executor.
+// announce announces the current instance to the executor.
 func (k *Keeper) announce() {
 	r, ok := k.Tracker.Current()
 	if !ok || k.routes == nil {
@@ -231,7 +232,8 @@
 	})
 }
 
-// probe starts a health check and reports whether it could.
+// probe starts a health check. It returns false when there is no address, or when the
+// routes in force do not have the service.
 func (k *Keeper) probe(a cassiatally.Address, s cassiatally.Service) bool {
 	if k.routes == nil {
 		return false
@@ -250,13 +252,13 @@
 }
 
 func (e probeEvent) apply(k *Keeper, now cassiatally.Instant) {
-	k.probing = false
+	k.startupProbing = false
 	k.Logger.Info("health check of the backend server", "instance", e.health.Instance, "healthy", e.health.Healthy, "error", e.err)
 	if e.err != nil || !e.health.Healthy || e.health.Instance == "" {
 		return
 	}
 	k.confirmed = e.health.Instance
-	if _, known := k.Tracker.Current(); known {
+	if _, hasCurrent := k.Tracker.Current(); hasCurrent {
 		return
 	}
 	r := k.pending
@@ -266,8 +268,8 @@
 		}
 	}
 	if r.Slots == 0 {
-		// Not all backend servers tell their slots here; without them nothing would bound
-		// what is sent before the next report.
+		// Not all backend servers report their slots in the health check. Without them
+		// nothing would limit the calls in flight before the next report.
 		return
 	}
 	if k.Tracker.Observe(now, r) {
