--- a/node/introducer/introducer.go
+++ b/node/introducer/introducer.go
@@ -1,11 +1,11 @@
-// Package introducer is the duty by which the nodes of a fleet find each other: it
-// saves where this node is in a store that all nodes reach, and loads where the
-// others are. Gossip does the rest, so that the store is read and written once at
-// the start of a node, and read again while the node is alone.
+// Package introducer is the duty by which the nodes of a fleet discover each other: it
+// saves this node with its address in a store that all nodes reach, and loads the other
+// nodes. Further changes spread by gossip, so that a node reads and writes the store
+// once at its start, and reads it again only while it is alone.
 //
 // # Usage
 //
-//	i := &introducer.Introducer{Store: store, Self: member, Alone: alone, Found: found, Logger: logs}
+//	i := &introducer.Introducer{Store: store, Self: member, Alone: alone, OnLoad: merge, Logger: logs}
 //	i.Run()
 //	defer i.Close()
 package introducer
@@ -22,25 +22,27 @@
 const (
 	// callTimeout bounds a call to the store.
 	callTimeout = time.Second
-	// retryPause is the pause after a call that failed. A node that starts while the
-	// store is away has to be found within two seconds of its return.
+	// retryPause is the pause after a failed call. A node that starts while the store is
+	// unavailable has to be discovered within two seconds of the store's return.
 	retryPause = 500 * time.Millisecond
-	// lookEvery is how often a node that has been introduced checks whether it is alone.
-	lookEvery = 3 * time.Second
+	// aloneCheckInterval is the time between checks whether the node is alone, after those
+	// of earlyCheckPauses.
+	aloneCheckInterval = 3 * time.Second
 )
 
-// settlePauses are the times between the first looks whether the node is alone. Of
-// the nodes that start together, the first loads before any other has saved where it
-// is. Those that found one another tell the rest by gossip.
-var settlePauses = []time.Duration{300 * time.Millisecond, 1500 * time.Millisecond}
+// earlyCheckPauses are the pauses before the first checks whether the node is alone. Of
+// the nodes that start together, the first one loads the members before any other has
+// saved its address. Nodes that have discovered each other spread that by gossip.
+var earlyCheckPauses = []time.Duration{300 * time.Millisecond, 1500 * time.Millisecond}
 
 // Introducer is the duty. Its fields are set before Run.
 type Introducer struct {
 	Store cassiatally.MemberStore
 	Self  cassiatally.Member
-	// Alone reports whether the node knows no live member besides itself.
+	// Alone reports whether the node has no live member besides itself in its member
+	// table.
 	Alone func() bool
-	// Found takes the members that the store knows; it must not block.
+	// OnLoad is called with the members in the store after each load; it must not block.
 	Found  func([]cassiatally.Member)
 	Logger cassiatally.Logger
 
@@ -62,10 +64,10 @@
 }
 
 func (i *Introducer) introduce(ctx context.Context) {
-	if !i.enrol(ctx) {
+	if !i.register(ctx) {
 		return
 	}
-	for _, pause := range settlePauses {
+	for _, pause := range earlyCheckPauses {
 		if !wait(ctx, pause) {
 			return
 		}
@@ -73,15 +75,16 @@
 			_, _ = i.load(ctx)
 		}
 	}
-	for wait(ctx, lookEvery) {
+	for wait(ctx, aloneCheckInterval) {
 		if i.Alone() {
 			_, _ = i.load(ctx)
 		}
 	}
 }
 
-// enrol loads the members and saves this one unless it is known at its address.
-func (i *Introducer) enrol(ctx context.Context) bool {
+// register loads the members, and saves this one unless the store has it with its
+// current address and data centre. It repeats that after a failure.
+func (i *Introducer) register(ctx context.Context) bool {
 	for {
 		members, err := i.load(ctx)
 		if err == nil && slices.ContainsFunc(members, i.isSelf) {
@@ -126,7 +129,7 @@
 	return err
 }
 
-// wait returns false when ctx ends first.
+// wait waits for a duration. It returns false when ctx ends first.
 func wait(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/node/introducer/introducer_test.go
+++ b/node/introducer/introducer_test.go
@@ -16,19 +16,19 @@
 	"github.com/cassiatally/cassiatally/node/introducer"
 )
 
-// store keeps members and counts the calls to it.
+// store stores members in memory and counts the calls.
 type store struct {
 	mu           sync.Mutex
 	members      []cassiatally.Member
 	loads, saves int
-	away         bool
+	unavailable  bool
 }
 
 func (s *store) Load(context.Context) ([]cassiatally.Member, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loads++
-	if s.away {
+	if s.unavailable {
 		return nil, errors.New("the store is away")
 	}
 	return append([]cassiatally.Member(nil), s.members...), nil
@@ -38,31 +38,31 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.saves++
-	if s.away {
+	if s.unavailable {
 		return errors.New("the store is away")
 	}
 	s.members = append(s.members, m)
 	return nil
 }
 
-func (s *store) setAway(away bool) {
+func (s *store) setUnavailable(away bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
+	s.unavailable = away
 }
 
-// node is an introducer with the members that it found.
+// node is an introducer that records the other members it has loaded.
 type node struct {
 	introducer.Introducer
-	mu    sync.Mutex
-	found map[cassiatally.NodeID]bool
+	mu     sync.Mutex
+	loaded map[cassiatally.NodeID]bool
 }
 
 func newNode(s *store, id cassiatally.NodeID) *node {
-	n := &node{found: make(map[cassiatally.NodeID]bool)}
+	n := &node{loaded: make(map[cassiatally.NodeID]bool)}
 	n.Introducer = introducer.Introducer{
 		Store: s, Self: cassiatally.Member{Ref: cassiatally.NodeRef{Node: id, Incarnation: 1}, Address: cassiatally.Address(id)},
-		Alone: func() bool { return n.knows() == 0 },
+		Alone: func() bool { return n.loadedCount() == 0 },
 		Found: n.add, Logger: log.New(io.Discard),
 	}
 	return n
@@ -73,20 +73,20 @@
 	defer n.mu.Unlock()
 	for _, m := range members {
 		if m.Ref.Node != n.Self.Ref.Node {
-			n.found[m.Ref.Node] = true
+			n.loaded[m.Ref.Node] = true
 		}
 	}
 }
 
-func (n *node) knows() int {
+func (n *node) loadedCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.found)
+	return len(n.loaded)
 }
 
-// Guards against a node that reads the store again and again although it has found
-// others: the calls of all nodes are paid for and bounded together.
-func TestNodeThatFindsOthersLoadsOnce(t *testing.T) {
+// Guards against a node that keeps reading the store after it has discovered others: the
+// calls of all nodes to the store share one cost and one rate limit.
+func TestNodeThatIsNotAloneLoadsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &store{members: []cassiatally.Member{{Ref: cassiatally.NodeRef{Node: "b"}}}}
@@ -96,12 +96,12 @@
 		n.Close()
 		is.Equal(s.loads, 1)
 		is.Equal(s.saves, 1)
-		is.Equal(n.knows(), 1)
+		is.Equal(n.loadedCount(), 1)
 	})
 }
 
-// Guards against a node that stays alone because it loaded before the others of its
-// fleet had saved where they are.
+// Guards against a node that stays alone because it loaded the members before the other
+// nodes had saved their addresses.
 func TestFirstNodeFindsTheOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -113,21 +113,21 @@
 		time.Sleep(time.Second)
 		first.Close()
 		second.Close()
-		is.Equal(first.knows(), 1)
-		is.Equal(second.knows(), 1)
+		is.Equal(first.loadedCount(), 1)
+		is.Equal(second.loadedCount(), 1)
 	})
 }
 
-// Guards against a node that is not found for more than two seconds after the store
-// has come back.
-func TestStoreIsAwayAtTheStart(t *testing.T) {
+// Guards against a node that starts while the store is unavailable and is not saved
+// within two seconds of the store's return.
+func TestStoreUnavailableAtStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &store{away: true}
+		s := &store{unavailable: true}
 		n := newNode(s, "a")
 		n.Run()
 		time.Sleep(30 * time.Second)
-		s.setAway(false)
+		s.setUnavailable(false)
 		time.Sleep(2 * time.Second)
 		n.Close()
 		is.Equal(len(s.members), 1)
