--- a/node/backendclient/client.go
+++ b/node/backendclient/client.go
@@ -39,8 +39,8 @@
 
 var _ cassiatally.BackendClient = (*Client)(nil)
 
-// clientFor returns the HTTP client for a target. Connections are kept while the
-// target stays the same.
+// clientFor returns the HTTP client for a target. It is reused, with its open
+// connections, until the target changes.
 func (c *Client) clientFor(t cassiatally.BackendTarget) *http.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,8 +67,9 @@
 
 // Do runs a call at the backend server.
 func (c *Client) Do(ctx context.Context, t cassiatally.BackendTarget, call cassiatally.Call) cassiatally.RunResult {
-	// A POST is not sent again by the transport when a kept connection turns out to
-	// be closed, unless the request can be replayed; GetBody stays nil for that.
+	// The transport must not resend a POST when a reused connection turns out to be
+	// closed. It does so only for a body that it can replay; the NopCloser keeps GetBody
+	// nil.
 	body := io.NopCloser(bytes.NewReader(call.Body))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+string(t.Address)+"/"+string(call.Work), body)
 	if err != nil {
@@ -78,12 +79,12 @@
 	setHeaders(req.Header, call)
 	resp, err := c.clientFor(t).Do(req)
 	if err != nil {
-		return failure(ctx, err)
+		return failedResult(ctx, err)
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, cassiatally.MaxBody+1))
 	if err != nil && !faultswitch.Off(faultswitch.AnswerLength) {
-		return failure(ctx, err)
+		return failedResult(ctx, err)
 	}
 	return resultOf(resp, data)
 }
@@ -116,7 +117,7 @@
 	}
 }
 
-func failure(ctx context.Context, err error) cassiatally.RunResult {
+func failedResult(ctx context.Context, err error) cassiatally.RunResult {
 	var op *net.OpError
 	switch {
 	case errors.As(err, &op) && op.Op == "dial" && ctx.Err() == nil:
