--- a/node/logdriver/driver.go
+++ b/node/logdriver/driver.go
@@ -1,5 +1,5 @@
-// Package logdriver reads and appends to the log for the duties of a node, with
-// the pauses and limits that they share.
+// Package logdriver reads and appends to the log for the duties of a node, with common
+// timeouts and retry pauses.
 //
 // # Usage
 //
@@ -29,17 +29,17 @@
 	Codec *protocol.Codec
 }
 
-// Read waits for records from an offset on. It returns an error only after a
-// pause, so that a caller may read again at once.
+// Read waits for records from an offset on, up to longPoll. It returns an error only
+// after a pause, so that the caller may retry at once.
 func (d *Driver) Read(ctx context.Context, s cassiatally.Stream, from cassiatally.Offset) (cassiatally.Batch, error) {
 	batch, err := d.Log.Read(ctx, s, from, longPoll)
 	if err != nil {
-		pause(ctx, readRetry)
+		sleep(ctx, readRetry)
 	}
 	return batch, err
 }
 
-// Append encodes a message and appends it.
+// Append encodes a message and appends it to a stream.
 func (d *Driver) Append(ctx context.Context, s cassiatally.Stream, m cassiatally.Message) error {
 	data, err := d.Codec.Encode(m)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return err
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
