--- a/node/logopener/opener.go
+++ b/node/logopener/opener.go
@@ -1,5 +1,5 @@
-// Package logopener opens the logger of a node: one line of key=value pairs for
-// each event.
+// Package logopener opens the logger of a node, which writes one line of key=value pairs
+// for each event.
 //
 // # Usage
 //
@@ -16,7 +16,8 @@
 
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// Opener has what the lines of a node share.
+// Opener has the settings of a node's logger: the node that each line names, and the
+// lowest level that is written.
 type Opener struct {
 	Node  cassiatally.NodeID
 	Level log.Level
