--- a/node/loglimiter/limiter.go
+++ b/node/loglimiter/limiter.go
@@ -1,14 +1,14 @@
-// Package loglimiter bounds the log lines of events that repeat under overload.
-// Of each event, at most a few lines are written in a second, and then one line
-// with the number of those left out.
+// Package loglimiter limits the rate of log lines of events that repeat under overload.
+// Of each event, at most LinesPerWindow lines are written in a second, followed by one
+// line with the number of omitted lines.
 //
 // # Usage
 //
 //	l := loglimiter.New(logger, clock)
 //	l.Warn("frame refused", "peer", peer)
-//	l.Flush() // every second, so that the last number left out is written too
+//	l.Flush() // every second, so that the last number of omitted lines is written too
 //
-// An event is the text of a line without its fields, so the texts have to be
+// An event is the message of a line without its fields, so messages have to be
 // constants.
 package loglimiter
 
@@ -22,8 +22,8 @@
 )
 
 const (
-	// LinesPerWindow is enough to tell who is concerned; more lines of one event
-	// say nothing new and cost processor time when it is short.
+	// LinesPerWindow lines of an event are enough to identify the peers concerned. More
+	// would add no information and cost processor time under overload.
 	LinesPerWindow = 10
 	window         = time.Second
 )
@@ -33,10 +33,10 @@
 	_ cassiatally.Logger = (*log.Logger)(nil)
 )
 
-// Limiter is a Logger that leaves out lines. It is safe for concurrent use.
+// Limiter is a Logger that omits lines. It is safe for concurrent use.
 type Limiter struct {
-	to    *log.Logger
-	clock cassiatally.Clock
+	logger *log.Logger
+	clock  cassiatally.Clock
 
 	mu     sync.Mutex
 	counts map[line]*count
@@ -47,46 +47,46 @@
 	event any
 }
 
-// count has the lines of one event in a window.
+// count has the numbers of written and omitted lines of one event in a window.
 type count struct {
 	since   cassiatally.Instant
 	written int
-	left    int
+	omitted int
 }
 
 // New returns a limiter that writes to a logger.
 func New(to *log.Logger, clock cassiatally.Clock) *Limiter {
-	return &Limiter{to: to, clock: clock, counts: make(map[line]*count)}
+	return &Limiter{logger: to, clock: clock, counts: make(map[line]*count)}
 }
 
 // Debug writes a line for developers.
 func (l *Limiter) Debug(event any, fields ...any) { l.write(log.DebugLevel, event, fields) }
 
-// Info writes a line about a change that was to be expected.
+// Info writes a line about a regular event.
 func (l *Limiter) Info(event any, fields ...any) { l.write(log.InfoLevel, event, fields) }
 
-// Warn writes a line about a fault that the node deals with.
+// Warn writes a line about a fault that the node handles itself.
 func (l *Limiter) Warn(event any, fields ...any) { l.write(log.WarnLevel, event, fields) }
 
-// Error writes a line about a fault that a person has to deal with.
+// Error writes a line about a fault that an operator has to handle.
 func (l *Limiter) Error(event any, fields ...any) { l.write(log.ErrorLevel, event, fields) }
 
 func (l *Limiter) write(level log.Level, event any, fields []any) {
-	if level < l.to.GetLevel() {
+	if level < l.logger.GetLevel() {
 		return
 	}
-	left, ok := l.take(line{level, event})
-	if left > 0 {
-		l.tellLeft(line{level, event}, left)
+	omitted, ok := l.countLine(line{level, event})
+	if omitted > 0 {
+		l.logOmitted(line{level, event}, omitted)
 	}
 	if ok {
-		l.to.Log(level, event, fields...)
+		l.logger.Log(level, event, fields...)
 	}
 }
 
-// take reports whether a line may be written now, and how many were left out in
-// a window that has ended.
-func (l *Limiter) take(k line) (left int, ok bool) {
+// countLine reports whether a line may be written now, and how many lines of the event
+// were omitted in the previous window if that has just ended.
+func (l *Limiter) countLine(k line) (omitted int, ok bool) {
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,36 +96,36 @@
 		l.counts[k] = c
 	}
 	if now.Reached(c.since.Add(window)) {
-		left = c.left
+		omitted = c.omitted
 		*c = count{since: now}
 	}
 	if c.written == LinesPerWindow {
-		c.left++
-		return left, false
+		c.omitted++
+		return omitted, false
 	}
 	c.written++
-	return left, true
+	return omitted, true
 }
 
-// Flush writes how many lines were left out in windows that have ended.
+// Flush writes the numbers of omitted lines of windows that have ended.
 func (l *Limiter) Flush() {
 	now := l.clock.Now()
 	ended := make(map[line]int)
 	l.mu.Lock()
 	for k, c := range l.counts {
 		if now.Reached(c.since.Add(window)) {
-			if c.left > 0 {
-				ended[k] = c.left
+			if c.omitted > 0 {
+				ended[k] = c.omitted
 			}
 			delete(l.counts, k)
 		}
 	}
 	l.mu.Unlock()
-	for k, left := range ended {
-		l.tellLeft(k, left)
+	for k, omitted := range ended {
+		l.logOmitted(k, omitted)
 	}
 }
 
-func (l *Limiter) tellLeft(k line, left int) {
-	l.to.Log(k.level, "log lines left out", "event", k.event, "count", left)
+func (l *Limiter) logOmitted(k line, omitted int) {
+	l.logger.Log(k.level, "log lines left out", "event", k.event, "count", omitted)
 }
--- a/node/loglimiter/limiter_test.go
+++ b/node/loglimiter/limiter_test.go
@@ -13,7 +13,7 @@
 	"github.com/cassiatally/cassiatally/node/loglimiter"
 )
 
-// fakeClock stands still until the test moves it.
+// fakeClock returns the instant that the test sets.
 type fakeClock struct{ now cassiatally.Instant }
 
 func (c *fakeClock) Now() cassiatally.Instant { return c.now }
@@ -26,8 +26,8 @@
 	return loglimiter.New(logger, clock), clock, &out
 }
 
-// Guards against a log that floods under overload, against one event that
-// silences another, and against lines that vanish without a trace.
+// Guards against unlimited log lines under overload, against one event that uses up the
+// limit of another, and against omitted lines that are not counted.
 func TestRepeatedEventsAreCounted(t *testing.T) {
 	is := is.New(t)
 	l, clock, out := newLimiter(log.InfoLevel)
@@ -48,8 +48,9 @@
 	is.Equal(out.String(), `level=warn msg="log lines left out" event="frame refused" count=25`+"\n"+`level=warn msg="frame refused" peer=n2`+"\n")
 }
 
-// Guards against a number that is never written because the event ends.
-func TestFlushWritesTheLastNumber(t *testing.T) {
+// Guards against a number of omitted lines that is never written because the event does
+// not occur again.
+func TestFlushWritesLastOmittedCount(t *testing.T) {
 	is := is.New(t)
 	l, clock, out := newLimiter(log.DebugLevel)
 	for range loglimiter.LinesPerWindow + 3 {
