--- a/node/waiter/waiter.go
+++ b/node/waiter/waiter.go
@@ -20,7 +20,8 @@
 // New returns a waiter.
 func New() *Waiter { return &Waiter{answers: make(chan cassiatally.Answer, 1)} }
 
-// Deliver hands over the answer. It never blocks; only the first answer counts.
+// Deliver passes the answer to Wait. It never blocks; answers after the first are
+// ignored.
 func (w *Waiter) Deliver(a cassiatally.Answer) {
 	select {
 	case w.answers <- a:
