--- a/node/backendserver/server.go
+++ b/node/backendserver/server.go
@@ -135,7 +135,7 @@
 		return responder.Responder{}.WriteError(c, failure)
 	}
 	w := waiter.New()
-	if !s.Executor.Child(child, w.Deliver) {
+	if !s.Executor.BeginChild(child, w.Deliver) {
 		return responder.Responder{}.WriteError(c, cassiatally.NewError(cassiatally.KindOverloaded, "the node is overloaded"))
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), parts.Timeout+replyGrace)
--- a/node/claimkeeper/claimkeeper.go
+++ b/node/claimkeeper/claimkeeper.go
@@ -172,7 +172,7 @@
 }
 
 // SetMembers queues a new view of the members.
-func (k *Keeper) Members(v *registrar.View) { k.inbox.Offer(membersEvent{view: v}, 0) }
+func (k *Keeper) SetMembers(v *registrar.View) { k.inbox.Offer(membersEvent{view: v}, 0) }
 
 // PeerEpochs queues the sum of epochs that another node of this data centre announced.
 // A higher sum than the own one shows that the own shard table is stale.
--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -157,7 +157,7 @@
 
 // QueryKey queries the outcome of a key at a node. It returns false when the inbox is
 // full; reply is then not called.
-func (d *Dispatcher) Ask(to cassiatally.NodeID, q cassiatally.KeyQuery, timeout time.Duration, reply Reply) bool {
+func (d *Dispatcher) QueryKey(to cassiatally.NodeID, q cassiatally.KeyQuery, timeout time.Duration, reply Reply) bool {
 	return d.inbox.Offer(queryEvent{to: to, query: q, timeout: timeout, reply: reply}, answerReserve)
 }
 
@@ -181,7 +181,7 @@
 
 // LinkResponding queues that a link to a node has opened, or that the node sends
 // again. It is dropped when the inbox is full; the endpoint is tried again later.
-func (d *Dispatcher) LinkHeard(peer cassiatally.NodeRef) {
+func (d *Dispatcher) LinkResponding(peer cassiatally.NodeRef) {
 	d.inbox.Offer(respondingEvent{peer: peer}, 0)
 }
 
@@ -193,7 +193,7 @@
 
 // SetEndpoints replaces the endpoints by those of the member table, with the loads
 // that gossip reported for them.
-func (d *Dispatcher) Endpoints(candidates []cassiatally.Candidate, loads []EndpointLevels) {
+func (d *Dispatcher) SetEndpoints(candidates []cassiatally.Candidate, loads []EndpointLevels) {
 	d.inbox.Offer(endpointsEvent{candidates: candidates, loads: loads}, 0)
 }
 
--- a/node/executor/executor.go
+++ b/node/executor/executor.go
@@ -57,10 +57,10 @@
 	Logger      cassiatally.Logger
 	// OnQueueWait is called with the time that each started call spent in the queue;
 	// it must not block.
-	Waits func(cassiatally.Rank, time.Duration)
+	OnQueueWait func(cassiatally.Rank, time.Duration)
 	// OnEndpoint is called by the duty when the endpoint or its load has changed,
 	// while there are crash reports, and at least once a second; it must not block.
-	Changed func(cassiatally.Endpoint, []cassiatally.CrashReport)
+	OnEndpoint func(cassiatally.Endpoint, []cassiatally.CrashReport)
 
 	inbox       *ring.Ring[event]
 	duty        looper.Looper[event]
@@ -226,14 +226,14 @@
 }
 
 // MergeCrashReports queues crash reports that arrived with the gossip about members.
-func (x *Executor) Crashes(reports []cassiatally.CrashReport) {
+func (x *Executor) MergeCrashReports(reports []cassiatally.CrashReport) {
 	x.inbox.Offer(mergeCrashesEvent{reports: reports}, 0)
 }
 
 // HandleCrashReports queues crash reports that another node sent directly, or its
 // acknowledgement of such reports. They are dropped when the inbox is full; the other
 // node sends unacknowledged reports again.
-func (x *Executor) CrashNews(from cassiatally.NodeID, g cassiatally.Gossip) {
+func (x *Executor) HandleCrashReports(from cassiatally.NodeID, g cassiatally.Gossip) {
 	x.inbox.Offer(crashReportsEvent{from: from, gossip: g}, 0)
 }
 
@@ -244,13 +244,13 @@
 
 // BeginChild queues an onward call of the backend server. It returns false when the
 // inbox is full; reply is then not called.
-func (x *Executor) Child(c runner.ChildCall, reply func(cassiatally.Answer)) bool {
+func (x *Executor) BeginChild(c runner.ChildCall, reply func(cassiatally.Answer)) bool {
 	return x.inbox.Offer(childEvent{call: c, reply: reply}, resultReserve)
 }
 
 // AbandonChild withdraws an onward call for which the backend server does not wait
 // any more.
-func (x *Executor) ChildGone(waiter cassiatally.CallID) {
+func (x *Executor) AbandonChild(waiter cassiatally.CallID) {
 	x.inbox.Offer(abandonEvent{waiter: waiter}, 0)
 }
 
@@ -277,7 +277,7 @@
 		return
 	}
 	x.reportedEndpoint, x.reportedCrashes, x.nextReport = e, len(reports) > 0, now.Add(reportInterval)
-	x.Changed(e, reports)
+	x.OnEndpoint(e, reports)
 }
 
 func sameEndpoint(a, b cassiatally.Endpoint) bool {
@@ -420,7 +420,7 @@
 				x.Logger.Debug("answer not sent", "to", a.To, "error", err)
 			}
 		case cassiatally.StartRun:
-			x.Waits(a.Call.Rank, a.Waited)
+			x.OnQueueWait(a.Call.Rank, a.Waited)
 			x.startRun(now, a.Call)
 		case cassiatally.AbortRun:
 			if cancel, ok := x.cancels[a.Call]; ok {
--- a/node/forwarder/forwarder.go
+++ b/node/forwarder/forwarder.go
@@ -37,8 +37,8 @@
 // Runs takes the onward calls of the runs at the backend server of this host. The
 // executor implements it.
 type Runs interface {
-	Child(c runner.ChildCall, reply func(cassiatally.Answer)) bool
-	ChildGone(waiter cassiatally.CallID)
+	BeginChild(c runner.ChildCall, reply func(cassiatally.Answer)) bool
+	AbandonChild(waiter cassiatally.CallID)
 }
 
 // Forwarder forwards requests. Its fields are set before the first Forward.
@@ -155,14 +155,14 @@
 		Waiter: req.ID, ParentName: in.Parent, Onward: &req, Service: req.Service, Work: req.Work, Name: string(req.Name),
 		Idempotent: req.Policy.Idempotent, Remaining: req.Deadline.Sub(arrived), Attempt: 1,
 	}
-	if !f.Runs.Child(child, w.Deliver) {
+	if !f.Runs.BeginChild(child, w.Deliver) {
 		return refuse(cassiatally.KindOverloaded, "the node has too many requests in flight", refusalRetryAfter), true
 	}
 	ctx, cancel := context.WithTimeout(ctx, req.Deadline.Sub(arrived)+replyGrace)
 	defer cancel()
 	a, ok := w.Wait(ctx)
 	if !ok {
-		f.Runs.ChildGone(req.ID)
+		f.Runs.AbandonChild(req.ID)
 		return callerLeft(), true
 	}
 	return a, a.Kind != cassiatally.KindUnknownParent
--- a/node/gatekeeper/gatekeeper.go
+++ b/node/gatekeeper/gatekeeper.go
@@ -168,7 +168,7 @@
 
 // Left hands over that an instance of the backend server leaves.
 func (g *Gatekeeper) Deregister(ctx context.Context, id cassiatally.InstanceID) bool {
-	return g.instances.Left(ctx, id)
+	return g.instances.Deregister(ctx, id)
 }
 
 // Reload takes over what may change while the node runs: where the backend server
@@ -249,10 +249,10 @@
 		Inbound:     g.inbound,
 		Lost:        func(peer cassiatally.NodeRef) { g.dispatcher.LinkLost(peer) },
 		Silent:      func(peer cassiatally.NodeRef) { g.dispatcher.LinkSilent(peer) },
-		Heard:       func(peer cassiatally.NodeRef) { g.dispatcher.LinkHeard(peer) },
+		Responding:  func(peer cassiatally.NodeRef) { g.dispatcher.LinkResponding(peer) },
 		Undelivered: func(to cassiatally.NodeID, m cassiatally.Message) { g.dispatcher.SendFailed(to, m) },
 	}
-	if err := g.links.Listening(); err != nil {
+	if err := g.links.OpenListener(); err != nil {
 		return err
 	}
 	g.buildMembers()
@@ -285,7 +285,7 @@
 			Ref: g.self, DataCentre: g.Settings.DataCentre, Address: g.links.Advertise, Heartbeat: 1, Revision: 1,
 		},
 		Alone:  g.alone,
-		Found:  g.members.Found,
+		OnLoad: g.members.MergeStored,
 		Logger: g.logs,
 	}
 }
@@ -334,8 +334,8 @@
 		Backend:     g.Backend,
 		AnnounceTTL: heartbeatsMissed * g.Settings.Heartbeat,
 		Logger:      g.logs,
-		Changed:     g.members.Endpoint,
-		Waits:       g.reports.Wait,
+		OnEndpoint:  g.members.SetEndpoint,
+		OnQueueWait: g.reports.Wait,
 	}
 }
 
@@ -385,12 +385,12 @@
 type runs struct{ g *Gatekeeper }
 
 // Child hands over an onward call of the backend server.
-func (r runs) Child(c runner.ChildCall, reply func(cassiatally.Answer)) bool {
-	return r.g.executor.Child(c, reply)
+func (r runs) BeginChild(c runner.ChildCall, reply func(cassiatally.Answer)) bool {
+	return r.g.executor.BeginChild(c, reply)
 }
 
 // ChildGone tells that nobody waits for an onward call any more.
-func (r runs) ChildGone(waiter cassiatally.CallID) { r.g.executor.ChildGone(waiter) }
+func (r runs) AbandonChild(waiter cassiatally.CallID) { r.g.executor.AbandonChild(waiter) }
 
 // noShards is the shard view of nodes that hold no idempotency keys.
 type noShards struct{}
--- a/node/gatekeeper/routes.go
+++ b/node/gatekeeper/routes.go
@@ -23,7 +23,7 @@
 		g.executor.Query(from.Node, m)
 	case cassiatally.Gossip:
 		if m.CrashNumber != 0 || m.CrashAck != 0 {
-			g.executor.CrashNews(from.Node, m)
+			g.executor.HandleCrashReports(from.Node, m)
 			return
 		}
 		g.members.Gossip(from, m)
@@ -53,7 +53,7 @@
 
 // viewChanged passes a new view of the members to the duties that use it.
 func (g *Gatekeeper) viewChanged(v *registrar.View) {
-	g.dispatcher.Endpoints(v.Candidates, dispatcher.LevelsOf(v.Loads))
+	g.dispatcher.SetEndpoints(v.Candidates, dispatcher.LevelsOf(v.Loads))
 	g.executor.SetPeers(v.Peers(g.self))
 }
 
@@ -61,14 +61,14 @@
 func (g *Gatekeeper) gossiped(m cassiatally.Gossip) {
 	g.routes.PeerVersion(m.From, m.SheetVersion)
 	if len(m.Crashes) > 0 {
-		g.executor.Crashes(m.Crashes)
+		g.executor.MergeCrashReports(m.Crashes)
 	}
 }
 
 // tableInForce passes on a route table that came into force.
 func (g *Gatekeeper) tableInForce(m *matcher.Matcher) {
-	g.members.Sheet(m.Table().Version)
-	g.instances.Routes(m)
+	g.members.SetVersion(m.Table().Version)
+	g.instances.SetRoutes(m)
 }
 
 // alone reports whether no other member is known to be alive.
--- a/node/instancekeeper/instancekeeper.go
+++ b/node/instancekeeper/instancekeeper.go
@@ -126,7 +126,7 @@
 }
 
 // Deregister queues that an instance leaves and waits until that is processed.
-func (k *Keeper) Left(ctx context.Context, id cassiatally.InstanceID) bool {
+func (k *Keeper) Deregister(ctx context.Context, id cassiatally.InstanceID) bool {
 	done := make(chan struct{})
 	return k.inbox.Push(ctx, deregisterEvent{id: id, done: done}) && await(ctx, done)
 }
@@ -137,7 +137,7 @@
 }
 
 // SetRoutes queues the routes in force.
-func (k *Keeper) Routes(m *matcher.Matcher) { k.inbox.Push(k.ctx, routesEvent{routes: m}) }
+func (k *Keeper) SetRoutes(m *matcher.Matcher) { k.inbox.Push(k.ctx, routesEvent{routes: m}) }
 
 func await(ctx context.Context, done chan struct{}) bool {
 	select {
--- a/node/introducer/introducer.go
+++ b/node/introducer/introducer.go
@@ -43,7 +43,7 @@
 	// table.
 	Alone func() bool
 	// OnLoad is called with the members in the store after each load; it must not block.
-	Found  func([]cassiatally.Member)
+	OnLoad func([]cassiatally.Member)
 	Logger cassiatally.Logger
 
 	running sync.WaitGroup
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	i.Logger.Info("members loaded", "count", len(members))
-	i.Found(members)
+	i.OnLoad(members)
 	return members, nil
 }
 
--- a/node/introducer/introducer_test.go
+++ b/node/introducer/introducer_test.go
@@ -62,8 +62,8 @@
 	n := &node{loaded: make(map[cassiatally.NodeID]bool)}
 	n.Introducer = introducer.Introducer{
 		Store: s, Self: cassiatally.Member{Ref: cassiatally.NodeRef{Node: id, Incarnation: 1}, Address: cassiatally.Address(id)},
-		Alone: func() bool { return n.loadedCount() == 0 },
-		Found: n.add, Logger: log.New(io.Discard),
+		Alone:  func() bool { return n.loadedCount() == 0 },
+		OnLoad: n.add, Logger: log.New(io.Discard),
 	}
 	return n
 }
--- a/node/linker/linker.go
+++ b/node/linker/linker.go
@@ -97,7 +97,7 @@
 	// Silent is called when a link on which an answer is awaited becomes silent, and
 	// Responding when a link opens or a message arrives on a silent one. They must not
 	// block; nil is allowed.
-	Silent, Heard func(peer cassiatally.NodeRef)
+	Silent, Responding func(peer cassiatally.NodeRef)
 	// Undelivered is called with each message that was certainly not sent.
 	Undelivered func(to cassiatally.NodeID, m cassiatally.Message)
 
@@ -124,7 +124,7 @@
 
 // OpenListener opens the listener, which sets the address of this node before the first
 // message can arrive.
-func (l *Linker) Listening() error {
+func (l *Linker) OpenListener() error {
 	l.ctx, l.cancel = context.WithCancel(context.Background())
 	l.byNode = make(map[cassiatally.NodeID]*link)
 	l.byAddr = make(map[cassiatally.Address]*link)
@@ -353,8 +353,8 @@
 }
 
 func (l *Linker) notifyResponding(k *link) {
-	if l.Heard != nil {
-		l.Heard(k.peer)
+	if l.Responding != nil {
+		l.Responding(k.peer)
 	}
 }
 
--- a/node/linker/linker_test.go
+++ b/node/linker/linker_test.go
@@ -87,10 +87,10 @@
 			p.events <- eventLost
 		},
 		Silent:      func(cassiatally.NodeRef) { p.events <- eventSilent },
-		Heard:       func(cassiatally.NodeRef) { p.events <- eventResponding },
+		Responding:  func(cassiatally.NodeRef) { p.events <- eventResponding },
 		Undelivered: func(_ cassiatally.NodeID, m cassiatally.Message) { p.undelivered <- m },
 	}
-	if err := p.Listening(); err != nil {
+	if err := p.OpenListener(); err != nil {
 		t.Fatal(err)
 	}
 	p.Run()
--- a/node/memberkeeper/memberkeeper.go
+++ b/node/memberkeeper/memberkeeper.go
@@ -117,18 +117,18 @@
 
 // SetEndpoint queues the endpoint and the crash reports of this node, which gossip
 // announces to other nodes.
-func (k *Keeper) Endpoint(e cassiatally.Endpoint, crashes []cassiatally.CrashReport) {
+func (k *Keeper) SetEndpoint(e cassiatally.Endpoint, crashes []cassiatally.CrashReport) {
 	k.inbox.Offer(endpointEvent{endpoint: e, crashes: crashes}, 0)
 }
 
 // SetVersion queues the version of the sheet or route table in force on this node.
-func (k *Keeper) Sheet(v cassiatally.Version) { k.inbox.Offer(versionEvent{version: v}, 0) }
+func (k *Keeper) SetVersion(v cassiatally.Version) { k.inbox.Offer(versionEvent{version: v}, 0) }
 
 // SetShardEpochs queues the sum of the epochs of this node's shard table.
-func (k *Keeper) ShardEpochs(sum cassiatally.Epoch) { k.inbox.Offer(epochsEvent{sum: sum}, 0) }
+func (k *Keeper) SetShardEpochs(sum cassiatally.Epoch) { k.inbox.Offer(epochsEvent{sum: sum}, 0) }
 
 // MergeStored queues members that were loaded from the member store.
-func (k *Keeper) Found(members []cassiatally.Member) {
+func (k *Keeper) MergeStored(members []cassiatally.Member) {
 	k.inbox.Offer(mergeStoredEvent{members: members}, 0)
 }
 
--- a/node/sheetkeeper/sheetkeeper.go
+++ b/node/sheetkeeper/sheetkeeper.go
@@ -150,7 +150,7 @@
 }
 
 // SetMembers queues a new view of the members.
-func (k *Keeper) Members(v *registrar.View) {
+func (k *Keeper) SetMembers(v *registrar.View) {
 	k.inbox.Offer(membersEvent{view: v}, batchReserve)
 }
 
--- a/node/supervisor/routes.go
+++ b/node/supervisor/routes.go
@@ -34,7 +34,7 @@
 
 func (s *Supervisor) inboundGossip(from cassiatally.NodeRef, g cassiatally.Gossip) {
 	if g.CrashNumber != 0 || g.CrashAck != 0 {
-		s.executor.CrashNews(from.Node, g)
+		s.executor.HandleCrashReports(from.Node, g)
 		return
 	}
 	s.members.Gossip(from, g)
@@ -71,17 +71,17 @@
 
 // viewChanged passes a new view of the members to the duties that use it.
 func (s *Supervisor) viewChanged(v *registrar.View) {
-	s.dispatcher.Endpoints(v.Candidates, dispatcher.LevelsOf(v.Loads))
+	s.dispatcher.SetEndpoints(v.Candidates, dispatcher.LevelsOf(v.Loads))
 	s.executor.SetPeers(v.Peers(s.self))
-	s.claims.Members(v)
-	s.sheets.Members(v)
+	s.claims.SetMembers(v)
+	s.sheets.SetMembers(v)
 }
 
 // gossiped passes on what gossip carries besides members.
 func (s *Supervisor) gossiped(g cassiatally.Gossip) {
 	s.sheets.PeerVersion(g.From, g.SheetVersion)
 	if len(g.Crashes) > 0 {
-		s.executor.Crashes(g.Crashes)
+		s.executor.MergeCrashReports(g.Crashes)
 	}
 	if s.sameDataCentre(g.From.Node) {
 		s.claims.PeerEpochs(g.From, g.ShardEpochs)
@@ -100,6 +100,6 @@
 // sheetAdopted is called by the sheetkeeper with each sheet that comes into force.
 func (s *Supervisor) sheetAdopted(r *ranker.Ranker) {
 	s.executor.SetShares(r.Shares())
-	s.members.Sheet(r.Version())
+	s.members.SetVersion(r.Version())
 	s.logs.Info("sheet in force", "version", r.Version())
 }
--- a/node/supervisor/supervisor.go
+++ b/node/supervisor/supervisor.go
@@ -149,7 +149,7 @@
 		Undelivered: func(to cassiatally.NodeID, m cassiatally.Message) { s.dispatcher.SendFailed(to, m) },
 	}
 	s.buildDuties()
-	if err := s.links.Listening(); err != nil {
+	if err := s.links.OpenListener(); err != nil {
 		return err
 	}
 	return nil
@@ -193,15 +193,15 @@
 	quarantine := quarantiner.New(s.self)
 	admitter, limiter := admission(s.Settings)
 	s.executor = &executor.Executor{
-		Runner:     runner.New(s.self, admitter, limiter, quarantine, s.nextID),
-		Quarantine: quarantine,
-		Clock:      s.Clock,
-		Transport:  s.links,
-		Requests:   requests{s.dispatcher},
-		Backend:    &backendclient.Client{},
-		Logger:     s.logs,
-		Changed:    s.members.Endpoint,
-		Waits:      s.reports.Wait,
+		Runner:      runner.New(s.self, admitter, limiter, quarantine, s.nextID),
+		Quarantine:  quarantine,
+		Clock:       s.Clock,
+		Transport:   s.links,
+		Requests:    requests{s.dispatcher},
+		Backend:     &backendclient.Client{},
+		Logger:      s.logs,
+		OnEndpoint:  s.members.SetEndpoint,
+		OnQueueWait: s.reports.Wait,
 	}
 }
 
@@ -232,7 +232,7 @@
 		Codec:      s.codec,
 		Logger:     s.logs,
 		NextID:     s.nextID,
-		OnEpochs:   func(sum cassiatally.Epoch) { s.members.ShardEpochs(sum) },
+		OnEpochs:   func(sum cassiatally.Epoch) { s.members.SetShardEpochs(sum) },
 	}
 }
 
@@ -325,5 +325,5 @@
 
 // Ask hands over a key query.
 func (r requests) QueryKey(to cassiatally.NodeID, q cassiatally.KeyQuery, timeout time.Duration, reply func(cassiatally.Answer)) bool {
-	return r.Dispatcher.Ask(to, q, timeout, reply)
+	return r.Dispatcher.QueryKey(to, q, timeout, reply)
 }
