--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -78,10 +78,10 @@
 		from   cassiatally.NodeID
 		answer cassiatally.Answer
 	}
-	lostEvent       struct{ peer cassiatally.NodeRef }
-	silentEvent     struct{ peer cassiatally.NodeRef }
-	respondingEvent struct{ peer cassiatally.NodeRef }
-	failedEvent     struct {
+	lostEvent    struct{ peer cassiatally.NodeRef }
+	silentEvent  struct{ peer cassiatally.NodeRef }
+	respondEvent struct{ peer cassiatally.NodeRef }
+	failedEvent  struct {
 		to cassiatally.NodeID
 		m  cassiatally.Message
 	}
@@ -182,7 +182,7 @@
 // LinkResponding queues that a link to a node has opened, or that the node sends
 // again. It is dropped when the inbox is full; the endpoint is tried again later.
 func (d *Dispatcher) LinkResponding(peer cassiatally.NodeRef) {
-	d.inbox.Offer(respondingEvent{peer: peer}, 0)
+	d.inbox.Offer(respondEvent{peer: peer}, 0)
 }
 
 // SendFailed queues a message that was certainly not delivered.
@@ -244,9 +244,7 @@
 	d.carryOut(now, d.Router.LinkSilent(now, e.peer))
 }
 
-func (e respondingEvent) apply(d *Dispatcher, _ cassiatally.Instant) {
-	d.Balancer.Responding(e.peer.Node)
-}
+func (e respondEvent) apply(d *Dispatcher, _ cassiatally.Instant) { d.Balancer.Responding(e.peer.Node) }
 
 func (e failedEvent) apply(d *Dispatcher, now cassiatally.Instant) {
 	d.carryOut(now, d.Router.SendFailed(now, e.to, e.m))
--- a/node/introducer/introducer_test.go
+++ b/node/introducer/introducer_test.go
@@ -45,10 +45,10 @@
 	return nil
 }
 
-func (s *store) setUnavailable(away bool) {
+func (s *store) setUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unavailable = away
+	s.unavailable = unavailable
 }
 
 // node is an introducer that records the other members it has loaded.
--- a/node/loglimiter/limiter.go
+++ b/node/loglimiter/limiter.go
@@ -55,8 +55,8 @@
 }
 
 // New returns a limiter that writes to a logger.
-func New(to *log.Logger, clock cassiatally.Clock) *Limiter {
-	return &Limiter{logger: to, clock: clock, counts: make(map[line]*count)}
+func New(logger *log.Logger, clock cassiatally.Clock) *Limiter {
+	return &Limiter{logger: logger, clock: clock, counts: make(map[line]*count)}
 }
 
 // Debug writes a line for developers.
