--- a/node/gatekeeper/flusher.go
+++ b/node/gatekeeper/flusher.go
@@ -6,7 +6,7 @@
 	"github.com/cassiatally/cassiatally/cassiatally/ring"
 )
 
-// flusher is the duty that writes how many log lines were left out.
+// flusher is the duty that regularly logs how many log lines were suppressed.
 type flusher struct {
 	clock cassiatally.Clock
 	flush func()
@@ -20,7 +20,7 @@
 		Inbox:    ring.New[struct{}](1, ring.RefuseNewest),
 		Handle:   func(cassiatally.Instant, struct{}) {},
 		Tick:     func(cassiatally.Instant) { f.flush() },
-		Interval: flushEvery,
+		Interval: flushInterval,
 	}
 	f.duty.Run()
 }
--- a/node/gatekeeper/gatekeeper.go
+++ b/node/gatekeeper/gatekeeper.go
@@ -1,15 +1,15 @@
-// Package gatekeeper assembles the duties of a node that takes its callers, its
-// backend server, its routes and the places of other nodes through interfaces. It
-// runs what cassiatally-node runs but for sheets and idempotency keys: a request
-// enters at one node only, so that nothing has to be agreed before it is run.
+// Package gatekeeper assembles the duties of a node that receives its callers, its
+// backend server, its routes and the addresses of other nodes through interfaces. It
+// runs what cassiatally-node runs except sheets and idempotency keys: a request enters
+// at one node only, so nodes do not have to agree on it before it is run.
 //
 // # Usage
 //
-//	g := &gatekeeper.Gatekeeper{Settings: settings, Clock: clock, Logger: logger, Routes: source, ...}
+//	g := &gatekeeper.Gatekeeper{Settings: settings, Clock: clock, Logger: logger, Source: source, ...}
 //	if err := g.Run(); err != nil { ... }
 //	defer g.Close()
 //	answer := g.Forward(ctx, inbound)
-//	g.Drain(ctx)
+//	g.Drain(ctx, minWait)
 package gatekeeper
 
 import (
@@ -48,59 +48,63 @@
 )
 
 const (
+	// outboxSize bounds the messages that wait to be written to one link.
 	outboxSize = 4096
-	// Requests in flight wait for linkDeadAfter when a data centre is cut off, of
-	// deadlines of 400 ms to 6 s. The timing of gossip is that of cassiatally-node.
+	// When a data centre is cut off, requests in flight lose linkDeadAfter of their
+	// deadlines, which are 400 ms to 6 s. Gossip has the timing of cassiatally-node.
 	linkHeartbeat = 300 * time.Millisecond
 	linkDeadAfter = time.Second
-	// linkSilentAfter is a heartbeat and half of one more, for a link on which one was
-	// late. Calls of 400 to 700 ms have time left for another endpoint then.
+	// linkSilentAfter is one and a half heartbeats, so that a slightly late heartbeat is
+	// tolerated. It leaves calls with deadlines of 400 to 700 ms time for another
+	// endpoint.
 	linkSilentAfter = linkHeartbeat * 3 / 2
 	gossipInterval  = time.Second
 	suspectAfter    = 3 * time.Second
 	removeAfter     = 10 * time.Second
-	// drainPoll is how often Drain looks whether the work in flight has ended.
+	// drainPoll is how often Drain checks whether the work in flight has ended.
 	drainPoll = 20 * time.Millisecond
-	// heartbeatsMissed is the number of reports of the backend server that may be
-	// late before it counts as gone.
-	heartbeatsMissed = 4
-	flushEvery       = time.Second
-	// keptProportion is how much less urgent work keeps in a shortage, as a part of its
-	// proportional share.
+	// maxMissedHeartbeats is the number of heartbeats after which a backend server that
+	// has not reported counts as gone.
+	maxMissedHeartbeats = 4
+	flushInterval       = time.Second
+	// keptProportion is the fraction of its proportional share that less urgent work
+	// keeps in a shortage.
 	keptProportion = 0.85
-	// farMargin keeps calls in their data centre while the endpoints there take less
-	// than two and a half times as long as others. Endpoints of a service differ
-	// twofold in speed, and bytes between data centres cost more than that time.
-	farMargin = 1.5
-	// noSlowStart: nodes start again beside endpoints that go on running, and a cold
-	// endpoint shows its run times with its first answers.
+	// remoteMargin keeps calls in their data centre while the endpoints there take less
+	// than two and a half times as long as others. Endpoints of a service differ in speed
+	// by a factor of two, and traffic between data centres costs more than that time.
+	remoteMargin = 1.5
+	// noSlowStart turns slow start off: nodes restart beside endpoints that go on
+	// running, and a cold endpoint is recognised by the run times of its first answers.
 	noSlowStart time.Duration = -1
-	// retrySlack is the retries that a node may send in a window whatever its requests.
+	// retrySlack is the number of retries per window that a node may send regardless of
+	// its number of requests.
 	retrySlack = 1
 )
 
-// Settings are what a gatekeeper has to know about its host.
+// Settings describe the host of a gatekeeper and bound its retries.
 type Settings struct {
 	Node       cassiatally.NodeID
 	DataCentre cassiatally.DataCentre
-	// Links is where the node accepts links of other nodes.
+	// Links is the address on which the node accepts links of other nodes.
 	Links cassiatally.Address
-	// Advertise is where other nodes reach Links; empty means Links.
+	// Advertise is the address at which other nodes reach Links; empty means Links.
 	Advertise cassiatally.Address
 	Seeds     []cassiatally.Address
 	// Service and Backend are those of the backend server of this host.
 	Service cassiatally.Service
 	Backend cassiatally.Address
-	// Heartbeat is how often the backend server reports.
+	// Heartbeat is the interval between reports of the backend server.
 	Heartbeat time.Duration
-	// Restarted tells that a node ran on this host before.
+	// Restarted is set when a node ran on this host before.
 	Restarted bool
-	// RetryRatio bounds the retries to a service as a part of its requests.
+	// RetryRatio bounds the retries to a service, as a fraction of its requests within
+	// RetryWindow.
 	RetryRatio  float64
 	RetryWindow time.Duration
 }
 
-// Gatekeeper runs the duties. Its fields are set before Run.
+// Gatekeeper is a node with its duties. Its fields are set before Run.
 type Gatekeeper struct {
 	Settings Settings
 	Clock    cassiatally.Clock
@@ -128,13 +132,13 @@
 	closers    []func()
 }
 
-// Run starts the node. After an error everything that had started is stopped.
+// Run starts the node. On error it stops everything that has started.
 func (g *Gatekeeper) Run() error {
 	g.logs = loglimiter.New(g.Logger, g.Clock)
 	g.self = cassiatally.NodeRef{
 		Node: g.Settings.Node,
-		// The time of day makes incarnations of a node grow, which gossip needs to
-		// tell the latest one.
+		// From the time of day, so that a later incarnation is greater: gossip
+		// recognises the latest one by that.
 		Incarnation: cassiatally.Incarnation(g.Clock.Wall().UnixMicro()),
 	}
 	g.origin = cassiatally.CallOriginOf(g.self)
@@ -147,7 +151,7 @@
 	return nil
 }
 
-// Close stops everything in the opposite order of the start.
+// Close stops everything in the reverse order of the start.
 func (g *Gatekeeper) Close() {
 	for i := len(g.closers) - 1; i >= 0; i-- {
 		g.closers[i]()
@@ -155,24 +159,24 @@
 	g.closers = nil
 }
 
-// Forward returns the answer to a request of a front end.
+// Forward sends a front end's request into the mesh and returns its answer.
 func (g *Gatekeeper) Forward(ctx context.Context, in cassiatally.Inbound) cassiatally.Answer {
 	return g.forwarder.Forward(ctx, in)
 }
 
-// Report hands over what the backend server says about itself and waits until it
-// is in force.
+// Report records a report of the backend server, and returns true once it is in force.
 func (g *Gatekeeper) Report(ctx context.Context, r cassiatally.InstanceReport) bool {
 	return g.instances.Report(ctx, r)
 }
 
-// Left hands over that an instance of the backend server leaves.
+// Deregister records that an instance of the backend server is leaving, and returns
+// true once that is in force.
 func (g *Gatekeeper) Deregister(ctx context.Context, id cassiatally.InstanceID) bool {
 	return g.instances.Left(ctx, id)
 }
 
-// Reload takes over what may change while the node runs: where the backend server
-// of this host is expected.
+// Reload sets the service and the address of the backend server of this host,
+// which may change while the node runs.
 func (g *Gatekeeper) Reload(s cassiatally.Service, a cassiatally.Address) { g.instances.Expect(s, a) }
 
 // Ready reports whether callers may use the node.
@@ -181,7 +185,7 @@
 	return ok && !g.leaving.Load()
 }
 
-// Limits returns the limits of requests in force.
+// Limits returns the request limits in force.
 func (g *Gatekeeper) Limits() cassiatally.RequestLimits {
 	if m, ok := g.routes.Routes(); ok {
 		return m.Table().Limits
@@ -192,21 +196,22 @@
 // Metrics serves the metrics of the node.
 func (g *Gatekeeper) Metrics() http.Handler { return g.reports.Handler() }
 
-// Drain tells other nodes that this one leaves, refuses new runs, and waits until
-// the work in flight has ended, and at least as long as callers take to notice.
-func (g *Gatekeeper) Drain(ctx context.Context, least time.Duration) {
+// Drain announces to other nodes that this one is leaving, refuses new runs, and waits
+// until the work in flight has ended or ctx is done. It waits at least minWait, the time
+// that callers need to notice that the node is not ready.
+func (g *Gatekeeper) Drain(ctx context.Context, minWait time.Duration) {
 	g.leaving.Store(true)
 	g.members.Leave()
 	g.executor.Leave()
-	look := time.NewTicker(drainPoll)
-	defer look.Stop()
-	noticed := g.Clock.Now().Add(least)
+	poll := time.NewTicker(drainPoll)
+	defer poll.Stop()
+	earliest := g.Clock.Now().Add(minWait)
 	for {
-		if g.Clock.Now().Reached(noticed) && g.idle() {
+		if g.Clock.Now().Reached(earliest) && g.idle() {
 			return
 		}
 		select {
-		case <-look.C:
+		case <-poll.C:
 		case <-ctx.Done():
 			g.logs.Warn("drain not finished", "runs_in_flight", g.executor.Running(), "requests", g.forwarder.InFlight())
 			return
@@ -222,7 +227,7 @@
 	return cassiatally.CallID{Origin: g.origin, Seq: g.seq.Add(1)}
 }
 
-// newRand returns a source for one duty; sources are not shared between duties.
+// newRand returns a random source for one duty; duties must not share one.
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
 func (g *Gatekeeper) build() error {
@@ -277,7 +282,7 @@
 		Links:    g.links,
 		Logger:   g.logs,
 		OnView:   g.viewChanged,
-		OnGossip: g.gossiped,
+		OnGossip: g.gossipReceived,
 	}
 	g.introducer = &introducer.Introducer{
 		Store: g.Store,
@@ -291,7 +296,7 @@
 }
 
 func (g *Gatekeeper) buildDispatcher() {
-	b := &balancer.Balancer{Rand: newRand(), DataCentre: g.Settings.DataCentre, RelativeMargin: farMargin, SlowStart: noSlowStart}
+	b := &balancer.Balancer{Rand: newRand(), DataCentre: g.Settings.DataCentre, RelativeMargin: remoteMargin, SlowStart: noSlowStart}
 	loads := &loadtracker.Tracker{}
 	g.dispatcher = &dispatcher.Dispatcher{
 		Balancer:  b,
@@ -306,8 +311,8 @@
 			Loads:    loads,
 			Shards:   func() cassiatally.ShardView { return noShards{} },
 			NextID:   g.nextID,
-			// The gates of a service differ in speed and queue; a refusal by one costs no
-			// arrival at an endpoint.
+			// The nodes of a service differ in speed and queue length, and a call that one
+			// of them refuses has not reached an endpoint.
 			LoadRedirects: 1,
 		}),
 	}
@@ -332,7 +337,7 @@
 		Transport:   g.links,
 		Requests:    requests{g.dispatcher},
 		Backend:     g.Backend,
-		AnnounceTTL: heartbeatsMissed * g.Settings.Heartbeat,
+		AnnounceTTL: maxMissedHeartbeats * g.Settings.Heartbeat,
 		Logger:      g.logs,
 		Changed:     g.members.Endpoint,
 		Waits:       g.reports.Wait,
@@ -360,7 +365,7 @@
 	g.flusher = &flusher{clock: g.Clock, flush: g.logs.Flush}
 }
 
-// start starts all duties before the first message can arrive.
+// start starts all duties; those that receive calls and gossip start before the links.
 func (g *Gatekeeper) start() error {
 	g.members.Open()
 	for _, d := range []interface {
@@ -376,26 +381,26 @@
 // requests adapts the dispatcher to the interfaces of its users.
 type requests struct{ *dispatcher.Dispatcher }
 
-// Submit hands over a request.
+// Submit passes a request to the dispatcher.
 func (r requests) Submit(req cassiatally.Request, reply func(cassiatally.Answer)) bool {
 	return r.Dispatcher.Submit(req, reply)
 }
 
-// runs gives the forwarder the executor, which is built after it.
+// runs gives the forwarder access to the executor, which is built after it.
 type runs struct{ g *Gatekeeper }
 
-// Child hands over an onward call of the backend server.
+// Child passes an onward call of the backend server to the executor.
 func (r runs) Child(c runner.ChildCall, reply func(cassiatally.Answer)) bool {
 	return r.g.executor.Child(c, reply)
 }
 
-// ChildGone tells that nobody waits for an onward call any more.
+// ChildGone cancels an onward call that nobody waits for any more.
 func (r runs) ChildGone(waiter cassiatally.CallID) { r.g.executor.ChildGone(waiter) }
 
 // noShards is the shard view of nodes that hold no idempotency keys.
 type noShards struct{}
 
-// HolderOf returns no holder.
+// HolderOf reports that the shard has no holder.
 func (noShards) HolderOf(cassiatally.ShardRef) (cassiatally.NodeRef, cassiatally.Epoch, bool) {
 	return cassiatally.NodeRef{}, 0, false
 }
--- a/node/gatekeeper/gatekeeper_test.go
+++ b/node/gatekeeper/gatekeeper_test.go
@@ -57,11 +57,11 @@
 	s.changed = make(chan struct{})
 }
 
-// source follows the table of a store; one that is cut off never returns.
+// source returns new tables of a store; one that is cut off returns none.
 type source struct {
-	store *store
-	cut   bool
-	last  cassiatally.Version
+	store  *store
+	cutOff bool
+	last   cassiatally.Version
 }
 
 func (s *source) Next(ctx context.Context) (cassiatally.RouteTable, error) {
@@ -69,7 +69,7 @@
 		s.store.mu.Lock()
 		t, changed := s.store.table, s.store.changed
 		s.store.mu.Unlock()
-		if !s.cut && t.Version > s.last {
+		if !s.cutOff && t.Version > s.last {
 			s.last = t.Version
 			return t, nil
 		}
@@ -81,13 +81,13 @@
 	}
 }
 
-// backend runs calls as a test says.
+// backend runs calls with a function of the test.
 type backend struct {
 	run     func(ctx context.Context, c cassiatally.Call) cassiatally.RunResult
 	healthy bool
-	// untold makes the health check leave the slots out.
-	untold bool
-	// failures is how many health checks fail before one succeeds.
+	// omitSlots makes the health check omit the slots.
+	omitSlots bool
+	// failures is the number of health checks that fail before one succeeds.
 	failures atomic.Int32
 }
 
@@ -99,25 +99,26 @@
 	if b.failures.Add(-1) >= 0 {
 		return cassiatally.BackendHealth{}, errors.New("no answer in time")
 	}
-	if b.untold {
+	if b.omitSlots {
 		return cassiatally.BackendHealth{Instance: "i-1", Healthy: b.healthy}, nil
 	}
 	return cassiatally.BackendHealth{Instance: "i-probed", Healthy: b.healthy, Slots: 8}, nil
 }
 
-// holder is a backend server that holds its runs once it is told to.
-type holder struct {
-	hold           atomic.Bool
-	begun, release chan struct{}
+// heldBackend is a backend server whose runs, while hold is set, last until release is
+// closed.
+type heldBackend struct {
+	hold             atomic.Bool
+	started, release chan struct{}
 }
 
-func newHolder() *holder {
-	return &holder{begun: make(chan struct{}, 1), release: make(chan struct{})}
+func newHeldBackend() *heldBackend {
+	return &heldBackend{started: make(chan struct{}, 1), release: make(chan struct{})}
 }
 
-func (h *holder) run(ctx context.Context, _ cassiatally.Call) cassiatally.RunResult {
+func (h *heldBackend) run(ctx context.Context, _ cassiatally.Call) cassiatally.RunResult {
 	if h.hold.Load() {
-		h.begun <- struct{}{}
+		h.started <- struct{}{}
 		select {
 		case <-h.release:
 		case <-ctx.Done():
@@ -151,7 +152,7 @@
 	wall time.Time
 }
 
-// fixedWall is a clock whose time of day stands still.
+// fixedWall is a clock with a fixed time of day.
 type fixedWall struct {
 	cassiatally.Clock
 	wall time.Time
@@ -159,7 +160,7 @@
 
 func (c fixedWall) Wall() time.Time { return c.wall }
 
-func (f *fleet) add(t testing.TB, s gatekeeper.Settings, b *backend, cut bool) *gatekeeper.Gatekeeper {
+func (f *fleet) add(t testing.TB, s gatekeeper.Settings, b *backend, cutOff bool) *gatekeeper.Gatekeeper {
 	t.Helper()
 	s.Links, s.DataCentre, s.Heartbeat = "127.0.0.1:0", "here", time.Second
 	s.RetryRatio, s.RetryWindow = 0.2, 10*time.Second
@@ -169,7 +170,7 @@
 	}
 	g := &gatekeeper.Gatekeeper{
 		Settings: s, Clock: clock, Logger: log.New(io.Discard),
-		Source: &source{store: f.store, cut: cut}, Store: f.store, Backend: b, Prober: b,
+		Source: &source{store: f.store, cutOff: cutOff}, Store: f.store, Backend: b, Prober: b,
 	}
 	if err := g.Run(); err != nil {
 		t.Fatal(err)
@@ -179,7 +180,7 @@
 	return g
 }
 
-func ready(s cassiatally.Service, state cassiatally.EndpointState, seq uint64) cassiatally.InstanceReport {
+func report(s cassiatally.Service, state cassiatally.EndpointState, seq uint64) cassiatally.InstanceReport {
 	return cassiatally.InstanceReport{Instance: "i-1", StartedMs: 1, Sequence: seq, Service: s, Address: "127.0.0.1:1", Slots: 8, State: state}
 }
 
@@ -205,7 +206,8 @@
 	}
 }
 
-// twoNodes has an entry beside depot-svc and a node beside avail-svc.
+// twoNodes starts an entry node beside depot-svc and a node beside avail-svc. Runs of
+// depot-svc call avail-svc.
 func twoNodes(t testing.TB, avail *backend) (*fleet, *gatekeeper.Gatekeeper, *gatekeeper.Gatekeeper) {
 	f := &fleet{store: newStore()}
 	f.store.publish(table(3))
@@ -221,27 +223,27 @@
 		}
 		return answer("depot:" + string(child.Body))
 	}
-	a.Report(context.Background(), ready("depot-svc", cassiatally.EndpointReady, 1))
-	b.Report(context.Background(), ready("avail-svc", cassiatally.EndpointReady, 1))
+	a.Report(context.Background(), report("depot-svc", cassiatally.EndpointReady, 1))
+	b.Report(context.Background(), report("avail-svc", cassiatally.EndpointReady, 1))
 	eventually(t, "both services are served", func() bool { return served(a, "depot")() && served(b, "depot")() })
 	return f, a, b
 }
 
-// Guards against a call that a node takes for a copy of another node's, so that its
-// caller gets no answer: nodes that start in the same microsecond have equal
+// Guards against taking a call of one node for a copy of another node's call, so that
+// its caller gets no answer: nodes that start in the same microsecond have equal
 // incarnations.
 func TestNodesStartedTogether(t *testing.T) {
 	is := is.New(t)
-	h := newHolder()
+	h := newHeldBackend()
 	f := &fleet{store: newStore(), wall: time.UnixMicro(1_700_000_000_000_000)}
 	f.store.publish(table(3))
 	entries := []*gatekeeper.Gatekeeper{
 		f.add(t, gatekeeper.Settings{Node: "a", Service: "depot-svc"}, &backend{}, false),
 		f.add(t, gatekeeper.Settings{Node: "c", Service: "depot-svc"}, &backend{}, false),
 	}
-	gate := f.add(t, gatekeeper.Settings{Node: "b", Service: "avail-svc"}, &backend{run: h.run}, false)
-	gate.Report(context.Background(), ready("avail-svc", cassiatally.EndpointReady, 1))
-	eventually(t, "the service is known", func() bool { return served(entries[0], "avail")() && served(entries[1], "avail")() })
+	target := f.add(t, gatekeeper.Settings{Node: "b", Service: "avail-svc"}, &backend{run: h.run}, false)
+	target.Report(context.Background(), report("avail-svc", cassiatally.EndpointReady, 1))
+	eventually(t, "both entries reach the service", func() bool { return served(entries[0], "avail")() && served(entries[1], "avail")() })
 
 	const calls = 16
 	got := make(chan cassiatally.ErrorKind, len(entries)*calls)
@@ -258,8 +260,8 @@
 	}
 }
 
-// Guards against a chain that is not served from end to end: entry, gate, run, and
-// the call that the run makes through the node beside it.
+// Guards against a call chain that is not served from end to end: from the entry node to
+// the run, and from the run's onward call through the node beside it to its run.
 func TestWholePath(t *testing.T) {
 	is := is.New(t)
 	var calls []cassiatally.Call
@@ -286,7 +288,7 @@
 }
 
 // Guards against a node that is ready without routes, serves a route that does not
-// exist, or falls back to an older table.
+// exist, or stays on an older table when it is cut off from the source.
 func TestRoutes(t *testing.T) {
 	is := is.New(t)
 	f := &fleet{store: newStore()}
@@ -302,51 +304,51 @@
 	next := table(7)
 	next.Routes = next.Routes[:1]
 	f.store.publish(next)
-	gone := func() bool {
+	routeDropped := func() bool {
 		return cut.Forward(context.Background(), inbound("r", "avail")).Kind == cassiatally.KindUnknownKind
 	}
-	eventually(t, "it also gets the next version", gone)
+	eventually(t, "it also gets the next version", routeDropped)
 }
 
-// Guards against a request that is cut off because its route is changed or dropped
-// while it runs.
+// Guards against a request that fails because its route is changed or dropped while it
+// runs.
 func TestRoutesChangeUnderARequest(t *testing.T) {
 	is := is.New(t)
-	h := newHolder()
+	h := newHeldBackend()
 	avail := &backend{run: h.run}
 	f, a, _ := twoNodes(t, avail)
 	h.hold.Store(true)
 	got := make(chan cassiatally.Answer, 1)
 	go func() { got <- a.Forward(context.Background(), inbound("r", "avail")) }()
-	<-h.begun
+	<-h.started
 	next := table(4)
 	next.Routes = next.Routes[:1]
 	f.store.publish(next)
-	eventually(t, "the route is gone", func() bool {
+	eventually(t, "the route is dropped", func() bool {
 		return a.Forward(context.Background(), inbound("s", "avail")).Kind == cassiatally.KindUnknownKind
 	})
 	close(h.release)
 	is.Equal(string((<-got).Body), "avail")
 }
 
-// Guards against requests that reach a backend server after the node acknowledged
-// that it leaves, and against a caller who is not told that nothing was run.
+// Guards against calls that reach a backend server after the node acknowledged its
+// draining, and against answers that do not say that the request was not run.
 func TestDrainingBackend(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
-	drained, late := false, 0
+	acknowledged, late := false, 0
 	avail := &backend{run: func(context.Context, cassiatally.Call) cassiatally.RunResult {
 		mu.Lock()
 		defer mu.Unlock()
-		if drained {
+		if acknowledged {
 			late++
 		}
 		return answer("avail")
 	}}
 	_, a, b := twoNodes(t, avail)
-	is.True(b.Report(context.Background(), ready("avail-svc", cassiatally.EndpointDraining, 2)))
+	is.True(b.Report(context.Background(), report("avail-svc", cassiatally.EndpointDraining, 2)))
 	mu.Lock()
-	drained = true
+	acknowledged = true
 	mu.Unlock()
 	for range 20 {
 		got := a.Forward(context.Background(), inbound("r", "avail"))
@@ -357,17 +359,17 @@
 	is.Equal(late, 0)
 }
 
-// Guards against a node that loses requests when it is told to stop.
+// Guards against a node that loses requests when it stops.
 func TestDrain(t *testing.T) {
 	is := is.New(t)
-	h := newHolder()
+	h := newHeldBackend()
 	avail := &backend{run: h.run}
 	_, a, b := twoNodes(t, avail)
 	h.hold.Store(true)
 	got := make(chan cassiatally.Answer, 1)
 	go func() { got <- a.Forward(context.Background(), inbound("r", "avail")) }()
 	select {
-	case <-h.begun:
+	case <-h.started:
 	case a := <-got:
 		t.Fatalf("answered before the run began: %+v", a)
 	}
@@ -387,9 +389,9 @@
 	<-done
 }
 
-// Guards against a restarted node that waits for the next report although its
-// backend server runs, and against one that believes a report which may be older
-// than what the backend server told the earlier node.
+// Guards against a restarted node that waits for the next report although its backend
+// server is healthy, and against one that acts on a single report while the health check
+// fails: the report may be older than one that the node received before the restart.
 func TestRestartBesideABackend(t *testing.T) {
 	for _, healthy := range []bool{true, false} {
 		t.Run(fmt.Sprint("healthy ", healthy), func(t *testing.T) {
@@ -403,39 +405,39 @@
 				eventually(t, "the backend server is used", served(g, "avail"))
 				return
 			}
-			is.True(g.Report(context.Background(), ready("avail-svc", cassiatally.EndpointReady, 5)))
+			is.True(g.Report(context.Background(), report("avail-svc", cassiatally.EndpointReady, 5)))
 			is.True(!served(g, "avail")())
 			for seq := uint64(6); seq < 8; seq++ {
-				is.True(g.Report(context.Background(), ready("avail-svc", cassiatally.EndpointReady, seq)))
+				is.True(g.Report(context.Background(), report("avail-svc", cassiatally.EndpointReady, seq)))
 			}
-			eventually(t, "repeated reports are believed", served(g, "avail"))
+			eventually(t, "repeated reports are accepted", served(g, "avail"))
 		})
 	}
 }
 
-// Guards against a backend server that gets calls without a bound after a restart
-// of the node, because its health check does not tell its slots.
+// Guards against sending a backend server an unbounded number of calls after a restart
+// of the node, because its health check does not report its slots.
 func TestRestartWithoutKnownSlots(t *testing.T) {
 	is := is.New(t)
 	f := &fleet{store: newStore()}
 	f.store.publish(table(3))
-	b := &backend{healthy: true, untold: true, run: func(context.Context, cassiatally.Call) cassiatally.RunResult { return answer("ok") }}
+	b := &backend{healthy: true, omitSlots: true, run: func(context.Context, cassiatally.Call) cassiatally.RunResult { return answer("ok") }}
 	g := f.add(t, gatekeeper.Settings{Node: "a", Service: "avail-svc", Backend: "127.0.0.1:1", Restarted: true}, b, false)
 	eventually(t, "the node is ready", g.Ready)
-	time.Sleep(100 * time.Millisecond) // the health check comes with the table
+	time.Sleep(100 * time.Millisecond) // the health check starts with the table
 	is.True(!served(g, "avail")())
-	is.True(g.Report(context.Background(), ready("avail-svc", cassiatally.EndpointReady, 5)))
+	is.True(g.Report(context.Background(), report("avail-svc", cassiatally.EndpointReady, 5)))
 	eventually(t, "the first report is confirmed", served(g, "avail"))
 }
 
-// Guards against a run that goes on after its caller left.
+// Guards against a run that continues after its caller has cancelled the request.
 func TestCallerLeaves(t *testing.T) {
-	begun, ended := make(chan struct{}, 1), make(chan struct{}, 1)
+	started, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 	hold := make(chan struct{})
 	avail := &backend{run: func(ctx context.Context, _ cassiatally.Call) cassiatally.RunResult {
 		select {
 		case <-hold:
-			begun <- struct{}{}
+			started <- struct{}{}
 			<-ctx.Done()
 			ended <- struct{}{}
 			return cassiatally.RunResult{Kind: cassiatally.ResultAborted}
@@ -447,12 +449,12 @@
 	close(hold)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { a.Forward(ctx, inbound("r", "avail")) }()
-	<-begun
+	<-started
 	cancel()
 	select {
 	case <-ended:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the run went on")
+		t.Fatal("the run was not cancelled")
 	}
 }
 
@@ -466,8 +468,8 @@
 	}
 }
 
-// BenchmarkHTTPHop is a request over a kept HTTP connection, to compare with
-// BenchmarkForward.
+// BenchmarkHTTPHop measures a request over a persistent HTTP connection, for comparison
+// with BenchmarkForward.
 func BenchmarkHTTPHop(b *testing.B) {
 	body := make([]byte, 1500)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(body) }))
@@ -483,8 +485,8 @@
 	}
 }
 
-// Guards against a node, started again beside a running backend server, that leaves
-// it unused until its next report because one health check got no answer.
+// Guards against a node that, after a restart beside a running backend server, leaves it
+// unused until its next report because one health check failed.
 func TestHealthCheckAfterARestartFailsOnce(t *testing.T) {
 	f := &fleet{store: newStore()}
 	f.store.publish(table(3))
--- a/node/gatekeeper/routes.go
+++ b/node/gatekeeper/routes.go
@@ -9,8 +9,8 @@
 	"github.com/cassiatally/cassiatally/node/dispatcher"
 )
 
-// inbound passes a message to the duty that it is for. It runs in the reader of a
-// link and does not block.
+// inbound passes a message to the duty that handles it. It runs in the reader of a link
+// and does not block.
 func (g *Gatekeeper) inbound(from cassiatally.NodeRef, m cassiatally.Message) {
 	switch m := m.(type) {
 	case cassiatally.Call:
@@ -57,21 +57,21 @@
 	g.executor.SetPeers(v.Peers(g.self))
 }
 
-// gossiped passes on what gossip carries besides members.
-func (g *Gatekeeper) gossiped(m cassiatally.Gossip) {
+// gossipReceived passes on the contents of gossip other than members.
+func (g *Gatekeeper) gossipReceived(m cassiatally.Gossip) {
 	g.routes.PeerVersion(m.From, m.SheetVersion)
 	if len(m.Crashes) > 0 {
 		g.executor.Crashes(m.Crashes)
 	}
 }
 
-// tableInForce passes on a route table that came into force.
+// tableInForce passes a route table that came into force to the duties that use it.
 func (g *Gatekeeper) tableInForce(m *matcher.Matcher) {
 	g.members.Sheet(m.Table().Version)
 	g.instances.Routes(m)
 }
 
-// alone reports whether no other member is known to be alive.
+// alone reports whether every other member is suspect or there is none.
 func (g *Gatekeeper) alone() bool {
 	v := g.members.View()
 	return !slices.ContainsFunc(v.Members, func(m cassiatally.Member) bool {
