--- a/node/supervisor/control.go
+++ b/node/supervisor/control.go
@@ -12,7 +12,7 @@
 	"github.com/cassiatally/cassiatally/cassiatally/settingsloader"
 )
 
-// admission returns the admitter and the limiter that the settings ask for.
+// admission returns the admitter and the limiter for the control mode in the settings.
 func admission(cfg settingsloader.Settings) (cassiatally.Admitter, cassiatally.Limiter) {
 	switch cfg.Control {
 	case settingsloader.ControlOff:
@@ -25,7 +25,7 @@
 	}
 }
 
-// routing returns what the router decides with.
+// routing returns the balancer, the load tracker and the retry budget of the router.
 func routing(cfg settingsloader.Settings, r cassiatally.Rand) (cassiatally.Balancer, cassiatally.LoadTracker, cassiatally.RetryBudget) {
 	b := &balancer.Balancer{Rand: r, DataCentre: cfg.Node.DataCentre}
 	budget := &budgeter.Budgeter{Ratio: cfg.Retries.Ratio, MinRate: cfg.Retries.MinPerSecond}
--- a/node/supervisor/routes.go
+++ b/node/supervisor/routes.go
@@ -7,8 +7,8 @@
 	"github.com/cassiatally/cassiatally/node/dispatcher"
 )
 
-// inbound passes a message to the duty that it is for. It runs in the reader of
-// a link and does not block.
+// inbound passes a message to the duty that handles it. It runs in the reader of a link
+// and does not block.
 func (s *Supervisor) inbound(from cassiatally.NodeRef, m cassiatally.Message) {
 	switch m := m.(type) {
 	case cassiatally.Call:
@@ -45,19 +45,19 @@
 		s.refuse(from, c, cassiatally.KindIncompleteAnswer, "the request body does not match its digest")
 		return
 	}
-	taken := false
+	accepted := false
 	if c.Stage == cassiatally.StageClaim {
-		taken = s.claims.Message(from, c)
+		accepted = s.claims.Message(from, c)
 	} else {
-		taken = s.executor.Call(from.Node, c)
+		accepted = s.executor.Call(from.Node, c)
 	}
-	if !taken {
+	if !accepted {
 		s.refuse(from, c, cassiatally.KindOverloaded, "the node of the backend server is overloaded")
 	}
 }
 
-// refuse answers a call that no duty took. A copy of a claim that is refused here
-// proves nothing about other copies of it.
+// refuse answers a call that no duty accepted. For a claim the outcome is unknown, since
+// other copies of it may have run.
 func (s *Supervisor) refuse(to cassiatally.NodeRef, c cassiatally.Call, kind cassiatally.ErrorKind, detail string) {
 	a := cassiatally.Answer{ID: c.ID, Request: c.Tag(), Outcome: cassiatally.OutcomeNotRun, Kind: kind, Detail: detail}
 	if c.Stage == cassiatally.StageClaim {
@@ -77,8 +77,8 @@
 	s.sheets.Members(v)
 }
 
-// gossiped passes on what gossip carries besides members.
-func (s *Supervisor) gossiped(g cassiatally.Gossip) {
+// gossipReceived passes on the contents of gossip other than members.
+func (s *Supervisor) gossipReceived(g cassiatally.Gossip) {
 	s.sheets.PeerVersion(g.From, g.SheetVersion)
 	if len(g.Crashes) > 0 {
 		s.executor.Crashes(g.Crashes)
@@ -97,7 +97,7 @@
 	return false
 }
 
-// sheetAdopted is called by the sheetkeeper with each sheet that comes into force.
+// sheetAdopted passes a sheet that came into force to the duties that use it.
 func (s *Supervisor) sheetAdopted(r *ranker.Ranker) {
 	s.executor.SetShares(r.Shares())
 	s.members.Sheet(r.Version())
--- a/node/supervisor/status.go
+++ b/node/supervisor/status.go
@@ -12,25 +12,25 @@
 	"github.com/cassiatally/cassiatally/node/reporter"
 )
 
-// drainPoll is how often Drain looks whether the work in flight has ended.
+// drainPoll is how often Drain checks whether the work in flight has ended.
 const drainPoll = 20 * time.Millisecond
 
-// Drain tells other nodes that this one leaves, refuses new work, and waits until
-// the runs in flight have ended, callers have their answers and the shards are
-// handed over, or until the context ends.
+// Drain announces to other nodes that this one is leaving, refuses new work, and waits
+// until the runs in flight have ended, callers have their answers and the shards are
+// handed over, or until ctx is done.
 func (s *Supervisor) Drain(ctx context.Context) {
 	s.leaving.Store(true)
 	s.members.Leave()
 	s.executor.Leave()
 	s.claims.Drain()
-	look := time.NewTicker(drainPoll)
-	defer look.Stop()
+	poll := time.NewTicker(drainPoll)
+	defer poll.Stop()
 	for {
 		if s.drained() {
 			return
 		}
 		select {
-		case <-look.C:
+		case <-poll.C:
 		case <-ctx.Done():
 			s.Logger.Warn("drain not finished", "runs_in_flight", s.executor.Running(), "callers_waiting", s.callers.InFlight(), "shards_handed_over", s.claims.Drained())
 			return
@@ -42,7 +42,7 @@
 	return s.executor.Running() == 0 && s.callers.InFlight() == 0 && s.claims.Drained()
 }
 
-// Status returns what operators see.
+// Status returns the state of the node for operators and metrics.
 func (s *Supervisor) Status() adminserver.Status {
 	v := s.members.View()
 	counts := s.dispatcher.Counts()
@@ -212,7 +212,7 @@
 	dataCentre cassiatally.DataCentre
 }
 
-// levelSum adds up levels by rank, weighted by the limits of the endpoints.
+// levelSum sums admission levels by rank, weighted by the limits of the endpoints.
 type levelSum struct {
 	weight float64
 	levels []float64
--- a/node/supervisor/supervisor.go
+++ b/node/supervisor/supervisor.go
@@ -1,5 +1,5 @@
 // Package supervisor builds a node from its settings: the duties, the rings that
-// join them, and the servers.
+// connect them, and the servers.
 //
 // # Usage
 //
@@ -48,7 +48,7 @@
 // outboxSize bounds the messages that wait to be written to one link.
 const outboxSize = 1024
 
-// Supervisor is a whole node. Its fields are set before Run.
+// Supervisor runs a complete node. Its fields are set before Run.
 type Supervisor struct {
 	Settings settingsloader.Settings
 	Clock    cassiatally.Clock
@@ -76,18 +76,18 @@
 	closers    []func()
 }
 
-// Run starts the node. After an error everything that had started is stopped.
+// Run starts the node. On error it stops everything that has started.
 func (s *Supervisor) Run() error {
 	s.logs = loglimiter.New(s.Logger, s.Clock)
 	s.self = cassiatally.NodeRef{
 		Node: s.Settings.Node.ID,
-		// The time of day makes incarnations of a node grow, which gossip needs to
-		// tell the latest one.
+		// From the time of day, so that a later incarnation is greater: gossip
+		// recognises the latest one by that.
 		Incarnation: cassiatally.Incarnation(s.Clock.Wall().UnixMicro()),
 	}
 	s.origin = cassiatally.CallOriginOf(s.self)
 	steps := []func() error{
-		s.buildBase, s.startLinks, s.startMembers, s.startDuties, s.startServers,
+		s.buildBase, s.startLinks, s.buildRegistrar, s.startDuties, s.startServers,
 	}
 	for _, step := range steps {
 		if err := step(); err != nil {
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// Close stops everything in the opposite order of the start.
+// Close stops everything in the reverse order of the start.
 func (s *Supervisor) Close() {
 	for i := len(s.closers) - 1; i >= 0; i-- {
 		s.closers[i]()
@@ -108,12 +108,12 @@
 
 func (s *Supervisor) onClose(f func()) { s.closers = append(s.closers, f) }
 
-// nextID draws ids for calls. Those of the claimer have the highest bit set.
+// nextID returns a new id for a call. Ids of the claimer have the highest bit of Seq set.
 func (s *Supervisor) nextID() cassiatally.CallID {
 	return cassiatally.CallID{Origin: s.origin, Seq: s.seq.Add(1)}
 }
 
-// newRand returns a source for one duty; sources are not shared between duties.
+// newRand returns a random source for one duty; duties must not share one.
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
 func (s *Supervisor) buildBase() error {
@@ -155,15 +155,15 @@
 	return nil
 }
 
-// buildDuties sets the fields of all duties. It runs before the first of them
-// starts, since they refer to each other.
+// buildDuties builds all duties, but for the registrar, before the first of them starts,
+// since they refer to each other.
 func (s *Supervisor) buildDuties() {
 	s.members = &memberkeeper.Keeper{
 		Clock:    s.Clock,
 		Links:    s.links,
 		Logger:   s.logs,
 		OnView:   s.viewChanged,
-		OnGossip: s.gossiped,
+		OnGossip: s.gossipReceived,
 	}
 	s.buildDispatcher()
 	s.buildExecutor()
@@ -236,9 +236,9 @@
 	}
 }
 
-// startMembers builds the registrar, which needs the address that the kernel
-// chose for links, and starts the duties of membership.
-func (s *Supervisor) startMembers() error {
+// buildRegistrar builds the registrar, which needs the address that the kernel chose for
+// links.
+func (s *Supervisor) buildRegistrar() error {
 	cfg := s.Settings
 	s.members.Registrar = registrar.New(registrar.Config{
 		Self:         s.self,
@@ -252,7 +252,8 @@
 	return nil
 }
 
-// startDuties starts all duties before the first message can arrive.
+// startDuties starts all duties. Links come last, so that every duty runs before the
+// first message arrives.
 func (s *Supervisor) startDuties() error {
 	s.members.Open()
 	s.dispatcher.Run()
@@ -303,12 +304,13 @@
 	return nil
 }
 
-// Addresses are where a node listens, after the kernel has chosen ports.
+// Addresses are the addresses on which a node listens, with the ports that the kernel
+// chose.
 type Addresses struct {
 	Callers, Backend, Links, Admin cassiatally.Address
 }
 
-// Addresses returns where the node listens.
+// Addresses returns the addresses on which the node listens.
 func (s *Supervisor) Addresses() Addresses {
 	return Addresses{
 		Callers: s.callers.Addr(), Backend: s.backend.Addr(), Links: s.links.Addr(), Admin: s.admin.Addr(),
@@ -318,12 +320,12 @@
 // requests adapts the dispatcher to the interfaces of its users.
 type requests struct{ *dispatcher.Dispatcher }
 
-// Submit hands over a request.
+// Submit passes a request to the dispatcher.
 func (r requests) Submit(req cassiatally.Request, reply func(cassiatally.Answer)) bool {
 	return r.Dispatcher.Submit(req, reply)
 }
 
-// Ask hands over a key query.
+// QueryKey sends a key query through the dispatcher.
 func (r requests) QueryKey(to cassiatally.NodeID, q cassiatally.KeyQuery, timeout time.Duration, reply func(cassiatally.Answer)) bool {
 	return r.Dispatcher.Ask(to, q, timeout, reply)
 }
