--- a/node/adminserver/server.go
+++ b/node/adminserver/server.go
@@ -44,5 +44,5 @@
 // Addr returns the address on which operators are served.
 func (s *Server) Addr() cassiatally.Address { return s.http.Addr() }
 
-// Close stops to serve.
+// Close stops the server and waits for requests in flight.
 func (s *Server) Close() { s.http.Close() }
--- a/node/adminserver/status.go
+++ b/node/adminserver/status.go
@@ -1,6 +1,6 @@
 package adminserver
 
-// Status is what a node tells operators, in the form of the JSON answer.
+// Status is the state of a node, encoded as the JSON answer to operators.
 type Status struct {
 	Node        string          `json:"node"`
 	Incarnation string          `json:"incarnation"`
@@ -14,20 +14,20 @@
 	Shards      []ShardStatus   `json:"shards"`
 	Requests    RequestStatus   `json:"requests"`
 	Traffic     TrafficStatus   `json:"traffic"`
-	// Refused counts the messages that found no room in the inbox of each duty.
+	// Refused counts, by duty, the messages refused because its inbox was full.
 	Refused map[string]uint64 `json:"refused_by_duty"`
 }
 
-// SheetStatus tells which sheet is in force.
+// SheetStatus describes the sheet in force and the contact with the log.
 type SheetStatus struct {
 	Version uint64 `json:"version"`
-	// LogContactSeconds is the time since this node last heard from the log, by
-	// itself; -1 when it does not follow the log or never reached it.
+	// LogContactSeconds is the time since the log last answered this node itself; -1
+	// when the node does not follow the log or never reached it.
 	LogContactSeconds float64 `json:"log_contact_seconds"`
 	FollowsLog        bool    `json:"follows_log"`
 }
 
-// MemberStatus is one member as this node knows it.
+// MemberStatus is a member in this node's view.
 type MemberStatus struct {
 	Node       string `json:"node"`
 	DataCentre string `json:"data_centre"`
@@ -43,19 +43,19 @@
 	Leaving    bool   `json:"leaving"`
 }
 
-// ServiceStatus adds up the endpoints of a service in a data centre.
+// ServiceStatus sums the endpoints of a service in a data centre.
 type ServiceStatus struct {
 	Service    string  `json:"service"`
 	DataCentre string  `json:"data_centre"`
 	Endpoints  int     `json:"endpoints"`
 	Capacity   int     `json:"capacity"`
 	Level      float64 `json:"level"`
-	// Levels has the admission level of each rank over the endpoints that this
-	// node knows, weighted by their limits; it is empty when none told it.
+	// Levels has the mean admission level of each rank over the endpoints in this
+	// node's view, weighted by their limits; it is empty when none has reported levels.
 	Levels []float64 `json:"levels"`
 }
 
-// LocalStatus is the backend server of the host.
+// LocalStatus describes the backend server of this host and its queue.
 type LocalStatus struct {
 	Service  string `json:"service"`
 	State    string `json:"state"`
@@ -63,13 +63,13 @@
 	Limit    int    `json:"limit"`
 	InFlight int    `json:"in_flight"`
 	Queued   int    `json:"queued"`
-	// TypicalSeconds is the typical run time without onward calls.
+	// TypicalSeconds is the typical run time, without the time of onward calls.
 	TypicalSeconds float64       `json:"typical_seconds"`
 	Levels         []float64     `json:"levels"`
 	Sheds          []ShedStatus  `json:"sheds"`
 	Queue          []QueueStatus `json:"queue"`
 	LateResults    uint64        `json:"late_results"`
-	// Crashes counts the times that the backend server broke off runs.
+	// Crashes counts the crashes of the backend server while runs were in flight.
 	Crashes uint64 `json:"crashes"`
 	// SuspectRequests were in flight in a crash and have not completed since;
 	// QuarantinedRequests are refused because they crashed backend servers.
@@ -77,15 +77,14 @@
 	QuarantinedRequests int `json:"quarantined_requests"`
 }
 
-// ShedStatus counts what was refused for one reason.
+// ShedStatus counts the requests of a rank that were refused for one reason.
 type ShedStatus struct {
 	Rank  int    `json:"rank"`
 	Kind  string `json:"kind"`
 	Count uint64 `json:"count"`
 }
 
-// QueueStatus adds up the time in the queue of the calls of a rank that were
-// started.
+// QueueStatus sums the queueing time of the calls of a rank that were started.
 type QueueStatus struct {
 	Rank        int     `json:"rank"`
 	Started     uint64  `json:"started"`
@@ -98,14 +97,15 @@
 	Epoch   uint64 `json:"epoch"`
 	Holder  string `json:"holder"`
 	Standby string `json:"standby"`
-	// CompleteFrom is the lowest epoch of which the holder has every claim.
+	// CompleteFrom is the lowest epoch from which the holder has every claim.
 	CompleteFrom uint64 `json:"complete_from"`
 }
 
-// RequestStatus counts what became of the calls that this node sent on.
+// RequestStatus counts the requests that entered at this node and the calls that it
+// sent for them.
 type RequestStatus struct {
 	InFlight int `json:"in_flight"`
-	// Refused counts callers that were told that their request was not run.
+	// Refused counts requests that were answered as not run.
 	Refused        []ShedStatus `json:"refused"`
 	RefusedAtEntry uint64       `json:"refused_at_entry"`
 	Retries        uint64       `json:"retries"`
