--- a/node/backendserver/server.go
+++ b/node/backendserver/server.go
@@ -1,4 +1,4 @@
-// Package backendserver serves the backend server of the host over HTTP: its
+// Package backendserver serves the backend server of this host over HTTP: it accepts its
 // announcements and its onward calls. docs/http.md describes them.
 //
 // # Usage
@@ -29,15 +29,16 @@
 )
 
 const (
-	maxAnnouncement = 4 << 10
-	maxSlots        = 1 << 16
+	maxAnnouncementBytes = 4 << 10
+	maxSlots             = 1 << 16
 	// shutdownGrace exceeds the 5 s for which net/http waits on a connection that
 	// never sent a request.
 	shutdownGrace = 10 * time.Second
-	replyGrace    = 500 * time.Millisecond
+	// replyGrace is how long the server waits for an answer after the timeout of a call.
+	replyGrace = 500 * time.Millisecond
 )
 
-// Server serves the backend server of the host. Its fields are set before Run.
+// Server serves the backend server of this host. Its fields are set before Run.
 type Server struct {
 	Listen     cassiatally.Address
 	DataCentre cassiatally.DataCentre
@@ -76,12 +77,12 @@
 
 func (s *Server) announce(c echo.Context) error {
 	var a announcement
-	dec := json.NewDecoder(http.MaxBytesReader(c.Response(), c.Request().Body, maxAnnouncement))
+	dec := json.NewDecoder(http.MaxBytesReader(c.Response(), c.Request().Body, maxAnnouncementBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&a); err != nil {
 		return responder.Responder{}.WriteError(c, cassiatally.NewError(cassiatally.KindBadRequest, "the announcement is not valid JSON: %v", err))
 	}
-	checked, failure := a.check()
+	checked, failure := a.validate()
 	if failure != nil {
 		return responder.Responder{}.WriteError(c, failure)
 	}
@@ -91,7 +92,7 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-func (a announcement) check() (cassiatally.Announcement, *cassiatally.Error) {
+func (a announcement) validate() (cassiatally.Announcement, *cassiatally.Error) {
 	state, ok := states[a.State]
 	_, addrErr := netip.ParseAddrPort(a.Address)
 	switch {
@@ -130,7 +131,7 @@
 	if failure != nil {
 		return responder.Responder{}.WriteError(c, failure)
 	}
-	child, failure := s.child(c, parts)
+	child, failure := s.childCall(c, parts)
 	if failure != nil {
 		return responder.Responder{}.WriteError(c, failure)
 	}
@@ -147,7 +148,7 @@
 	return responder.Responder{}.Write(c, a)
 }
 
-func (s *Server) child(c echo.Context, parts requestreader.Parts) (runner.ChildCall, *cassiatally.Error) {
+func (s *Server) childCall(c echo.Context, parts requestreader.Parts) (runner.ChildCall, *cassiatally.Error) {
 	h := c.Request().Header
 	parent, err := cassiatally.ParseCallID(h.Get(headers.Run))
 	if err != nil {
