--- a/node/callerserver/server.go
+++ b/node/callerserver/server.go
@@ -1,5 +1,5 @@
-// Package callerserver serves callers over HTTP. docs/http.md describes the
-// requests and answers.
+// Package callerserver serves callers over HTTP: calls, and idempotency keys. docs/http.md
+// describes the requests and answers.
 //
 // # Usage
 //
@@ -30,11 +30,12 @@
 	// shutdownGrace exceeds the 5 s for which net/http waits on a connection that
 	// never sent a request.
 	shutdownGrace = 10 * time.Second
-	// replyGrace is how long the server waits for the router after the deadline of a
-	// request. The router answers at the deadline; this only guards against a lost
-	// reply.
+	// replyGrace is how long the server waits for an answer after the deadline of a
+	// request. The router answers by the deadline, so it matters only when a reply is
+	// lost.
 	replyGrace = 500 * time.Millisecond
-	// firstAttempt is the attempt number that rules out earlier copies of a key.
+	// firstAttempt is the attempt number of a request that was not sent before with the
+	// same key.
 	firstAttempt = "1"
 )
 
@@ -86,7 +87,7 @@
 	if failure != nil {
 		return refuse(c, failure)
 	}
-	policy, failure := s.policyOf(parts)
+	policy, failure := s.lookupPolicy(parts)
 	if failure != nil {
 		return refuse(c, failure)
 	}
@@ -99,8 +100,8 @@
 	return responder.Responder{Root: req.Root}.Write(c, a)
 }
 
-// refuse answers a request that this node does not pass on. Earlier copies of its
-// key may have run, so only a first copy is certainly not run.
+// refuse answers a request that this node does not forward. Earlier requests with the
+// same key may have run, so the outcome is not_run only for a first attempt.
 func refuse(c echo.Context, failure *cassiatally.Error) error {
 	a := cassiatally.Answer{Outcome: failure.Outcome, Kind: failure.Kind, Detail: failure.Detail}
 	h := c.Request().Header
@@ -110,7 +111,7 @@
 	return responder.Responder{}.Write(c, a)
 }
 
-func (s *Server) policyOf(parts requestreader.Parts) (cassiatally.Policy, *cassiatally.Error) {
+func (s *Server) lookupPolicy(parts requestreader.Parts) (cassiatally.Policy, *cassiatally.Error) {
 	policies, ok := s.Policies()
 	if !ok {
 		return cassiatally.Policy{}, cassiatally.NewError(cassiatally.KindNoBackend, "no sheet is in force yet; publish one")
@@ -169,7 +170,7 @@
 func (s *Server) await(ctx context.Context, req cassiatally.Request, timeout time.Duration) cassiatally.Answer {
 	w := waiter.New()
 	if !s.Requests.Submit(req, w.Deliver) {
-		return busy(req)
+		return overloadedAnswer(req)
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout+replyGrace)
 	defer cancel()
@@ -181,9 +182,10 @@
 	return cassiatally.Answer{Outcome: cassiatally.OutcomeUnknown, Kind: cassiatally.KindCancelled, Detail: "the caller left"}
 }
 
-// busy is the answer when the dispatcher takes no more requests. Only a request
-// of which no earlier copy exists is certainly not run.
-func busy(req cassiatally.Request) cassiatally.Answer {
+// overloadedAnswer is the answer when the dispatcher accepts no more requests. Earlier
+// requests with the same key may have run, so the outcome is not_run only for a first
+// attempt.
+func overloadedAnswer(req cassiatally.Request) cassiatally.Answer {
 	a := cassiatally.Answer{Outcome: cassiatally.OutcomeNotRun, Kind: cassiatally.KindOverloaded, Detail: "the node is overloaded; send again later", RetryAfter: time.Second}
 	if req.Key != "" && req.Attempt != 1 {
 		a.Outcome = cassiatally.OutcomeUnknown
--- a/node/callerserver/server_test.go
+++ b/node/callerserver/server_test.go
@@ -18,8 +18,8 @@
 
 func (noSheet) policies() (cassiatally.Policies, bool) { return nil, false }
 
-// Guards against a node without a sheet, such as one that has just started, that
-// tells not_run for a re-sent key whose earlier copy ran.
+// Guards against a node without a sheet, such as one that has just started, that answers
+// not_run to a request re-sent with its key although the earlier one may have run.
 func TestRefusalOfResentKey(t *testing.T) {
 	s := &callerserver.Server{
 		Listen: "127.0.0.1:0", Policies: noSheet{}.policies, MaxInFlight: 10,
@@ -32,10 +32,10 @@
 	t.Cleanup(s.Close)
 	cases := []struct{ name, key, attempt, want string }{
 		{"no key", "", "", "not_run"},
-		{"first copy", "north.0.1.38519750480300e0", "1", "not_run"},
-		{"second copy", "north.0.1.38519750480300e0", "2", "unknown"},
-		{"copy of unknown number", "north.0.1.38519750480300e0", "", "unknown"},
-		{"key that was never minted", "no-key", "2", "not_run"},
+		{"first attempt", "north.0.1.38519750480300e0", "1", "not_run"},
+		{"second attempt", "north.0.1.38519750480300e0", "2", "unknown"},
+		{"attempt of unknown number", "north.0.1.38519750480300e0", "", "unknown"},
+		{"malformed key", "no-key", "2", "not_run"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
