--- a/node/httpserver/server.go
+++ b/node/httpserver/server.go
@@ -1,4 +1,4 @@
-// Package httpserver runs the HTTP server of one of a node's addresses.
+// Package httpserver runs an HTTP server on one address of a node.
 //
 // # Usage
 //
@@ -23,14 +23,14 @@
 
 const (
 	readHeaderTimeout = 5 * time.Second
-	// maxHeaderBytes is far above the headers that nodes read, which are short.
+	// maxHeaderBytes is far above the size of the headers that nodes read.
 	maxHeaderBytes = 16 << 10
 )
 
 // Server serves HTTP on one address. Its fields are set before Run.
 type Server struct {
 	Listen cassiatally.Address
-	// Clients names who is served, for errors.
+	// Clients describes the clients in error messages, such as "callers".
 	Clients string
 	// Grace is how long Close waits for requests in flight.
 	Grace time.Duration
@@ -40,7 +40,7 @@
 	running  sync.WaitGroup
 }
 
-// Run starts to serve the routes.
+// Run registers the routes and starts to serve.
 func (s *Server) Run(routes func(e *echo.Echo)) error {
 	lc := net.ListenConfig{}
 	listener, err := lc.Listen(context.Background(), "tcp", string(s.Listen))
--- a/node/httpserver/server_test.go
+++ b/node/httpserver/server_test.go
@@ -22,14 +22,14 @@
 	return s
 }
 
-// Guards against a stop that cuts off a request in flight.
+// Guards against a Close that aborts a request in flight.
 func TestCloseWaitsForRequests(t *testing.T) {
 	is := is.New(t)
-	entered, leave := make(chan struct{}), make(chan struct{})
+	started, release := make(chan struct{}), make(chan struct{})
 	s := start(t, func(e *echo.Echo) {
 		e.GET("/", func(c echo.Context) error {
-			close(entered)
-			<-leave
+			close(started)
+			<-release
 			return c.String(http.StatusOK, "whole")
 		})
 	})
@@ -45,7 +45,7 @@
 		body, _ := io.ReadAll(resp.Body)
 		got <- string(body)
 	}()
-	<-entered
+	<-started
 	closed := make(chan struct{})
 	go func() {
 		s.Close()
@@ -56,12 +56,12 @@
 		t.Fatal("closed while a request was in flight")
 	default:
 	}
-	close(leave)
+	close(release)
 	is.Equal(<-got, "whole")
 	<-closed
 }
 
-// Guards against an error that does not tell which address of the settings is taken.
+// Guards against an error that does not name the address in use and its clients.
 func TestAddressTaken(t *testing.T) {
 	is := is.New(t)
 	s := start(t, func(*echo.Echo) {})
@@ -72,7 +72,7 @@
 	is.True(strings.Contains(err.Error(), "listen for operators on "+string(s.Addr())))
 }
 
-// Guards against request headers without a bound.
+// Guards against request headers of unbounded size.
 func TestHeadersTooLarge(t *testing.T) {
 	is := is.New(t)
 	s := start(t, func(e *echo.Echo) {
