--- a/node/requestreader/reader.go
+++ b/node/requestreader/reader.go
@@ -1,5 +1,5 @@
-// Package requestreader reads what callers and backend servers send over HTTP and
-// checks it against the limits of the node.
+// Package requestreader reads the HTTP requests of callers and backend servers and checks
+// them against the limits of the node.
 //
 // # Usage
 //
@@ -21,8 +21,8 @@
 )
 
 const (
-	maxName    = 128
-	maxAttempt = 1 << 15
+	maxNameLength = 128
+	maxAttempt    = 1 << 15
 )
 
 // Reader reads requests. Its fields are set before the first Read.
@@ -43,7 +43,7 @@
 	Body    []byte
 }
 
-// Read returns the parts of a request, or an error that says what is wrong.
+// Read returns the parts of a request, or an error for the client.
 func (rd Reader) Read(c echo.Context) (Parts, *cassiatally.Error) {
 	h := c.Request().Header
 	p := Parts{
@@ -54,22 +54,22 @@
 	}
 	for _, name := range []string{string(p.Service), string(p.Work), string(p.Tenant), string(p.Key)} {
 		if !validName(name) {
-			return Parts{}, cassiatally.NewError(cassiatally.KindBadRequest, "%q is not a name: use up to %d letters, digits, '.', '_', '-'", shorten(name), maxName)
+			return Parts{}, cassiatally.NewError(cassiatally.KindBadRequest, "%q is not a name: use up to %d letters, digits, '.', '_', '-'", shorten(name), maxNameLength)
 		}
 	}
 	var err *cassiatally.Error
-	if p.Attempt, err = attemptOf(h); err != nil {
+	if p.Attempt, err = parseAttempt(h); err != nil {
 		return Parts{}, err
 	}
-	if p.Timeout, err = rd.timeoutOf(h); err != nil {
+	if p.Timeout, err = rd.parseTimeout(h); err != nil {
 		return Parts{}, err
 	}
-	p.Body, err = rd.body(c.Request())
+	p.Body, err = rd.readBody(c.Request())
 	return p, err
 }
 
 func validName(s string) bool {
-	if len(s) > maxName {
+	if len(s) > maxNameLength {
 		return false
 	}
 	for _, r := range s {
@@ -84,14 +84,14 @@
 }
 
 func shorten(s string) string {
-	const shown = 40
-	if len(s) <= shown {
+	const maxShown = 40
+	if len(s) <= maxShown {
 		return s
 	}
-	return s[:shown] + "..."
+	return s[:maxShown] + "..."
 }
 
-func attemptOf(h http.Header) (uint16, *cassiatally.Error) {
+func parseAttempt(h http.Header) (uint16, *cassiatally.Error) {
 	v := h.Get(headers.Attempt)
 	if v == "" {
 		return 0, nil
@@ -103,7 +103,7 @@
 	return uint16(n), nil
 }
 
-func (rd Reader) timeoutOf(h http.Header) (time.Duration, *cassiatally.Error) {
+func (rd Reader) parseTimeout(h http.Header) (time.Duration, *cassiatally.Error) {
 	v := h.Get(headers.Timeout)
 	if v == "" {
 		return rd.DefaultTimeout, nil
@@ -115,7 +115,7 @@
 	return min(d, rd.MaxTimeout), nil
 }
 
-func (rd Reader) body(r *http.Request) ([]byte, *cassiatally.Error) {
+func (rd Reader) readBody(r *http.Request) ([]byte, *cassiatally.Error) {
 	data, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, rd.MaxBody))
 	var tooLarge *http.MaxBytesError
 	switch {
--- a/node/responder/responder.go
+++ b/node/responder/responder.go
@@ -1,5 +1,5 @@
-// Package responder writes answers as HTTP responses: the outcome headers, the
-// body with its digest, or a problem body as RFC 9457 describes it.
+// Package responder writes answers as HTTP responses: the outcome headers, and the body
+// with its digest or, for an error, a problem body as in RFC 9457.
 //
 // # Usage
 //
@@ -25,7 +25,7 @@
 
 // Responder writes the answer to one request.
 type Responder struct {
-	// Root is shown to the caller; the zero value is left out.
+	// Root is sent in the Cassiatally-Request header unless it is zero.
 	Root cassiatally.RootID
 }
 
@@ -38,7 +38,7 @@
 	Outcome string `json:"outcome"`
 }
 
-// Write writes an answer.
+// Write writes an answer, as a problem body when it is an error of the node.
 func (r Responder) Write(c echo.Context, a cassiatally.Answer) error {
 	h := c.Response().Header()
 	h.Set(headers.Outcome, a.Outcome.String())
@@ -46,7 +46,7 @@
 		h.Set(headers.Request, r.Root.String())
 	}
 	if a.RetryAfter > 0 {
-		h.Set(headers.RetryAfter, seconds(a.RetryAfter))
+		h.Set(headers.RetryAfter, ceilSeconds(a.RetryAfter))
 	}
 	if a.Kind == cassiatally.KindNone || (a.Kind == cassiatally.KindBackendFailed && a.Status != 0) {
 		h.Set(headers.Digest, digestHeader(a.Digest))
@@ -55,7 +55,7 @@
 	return r.writeProblem(c, a)
 }
 
-// WriteError writes an error of the closed list.
+// WriteError writes an error as an answer.
 func (r Responder) WriteError(c echo.Context, err *cassiatally.Error) error {
 	return r.Write(c, cassiatally.Answer{Outcome: err.Outcome, Kind: err.Kind, Detail: err.Detail})
 }
@@ -77,7 +77,7 @@
 	return c.Blob(spec.Status, "application/problem+json", body)
 }
 
-func seconds(d time.Duration) string {
+func ceilSeconds(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
 
@@ -85,7 +85,7 @@
 	return "sha-256=:" + base64.StdEncoding.EncodeToString(d[:]) + ":"
 }
 
-// ErrorHandler answers errors that echo itself raises, such as unknown paths.
+// ErrorHandler writes the errors that echo itself returns, such as for unknown paths.
 func ErrorHandler(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
