--- a/node/reporter/reporter.go
+++ b/node/reporter/reporter.go
@@ -1,8 +1,8 @@
-// Package reporter keeps the metrics of a node and serves them for scraping.
+// Package reporter collects the metrics of a node and serves them for scraping.
 //
 // # Usage
 //
-//	rep, err := reporter.New(self)
+//	rep, err := reporter.New(node, dataCentre)
 //	defer rep.Close()
 //	rep.Request(policy, tenant, answer, took)
 //	http.Handle("/metrics", rep.Handler())
@@ -26,26 +26,27 @@
 )
 
 const (
-	reportEvery = time.Second
-	// maxTenants bounds the histograms per tenant; further tenants share one.
-	maxTenants  = 32
-	otherTenant = "other"
-	firstBucket = time.Millisecond
-	bucketStep  = 1.6
-	buckets     = 20
+	reportInterval = time.Second
+	// maxTenants bounds the number of tenants with a histogram of their own; further
+	// tenants share one.
+	maxTenants   = 32
+	otherTenant  = "other"
+	firstBucket  = time.Millisecond
+	bucketFactor = 1.6
+	bucketCount  = 20
 )
 
-// Reporter keeps the metrics of a node. It is safe for concurrent use.
+// Reporter collects the metrics of a node. It is safe for concurrent use.
 type Reporter struct {
-	scope   tally.Scope
-	closer  io.Closer
-	handler http.Handler
-	latency tally.Buckets
+	scope          tally.Scope
+	closer         io.Closer
+	handler        http.Handler
+	latencyBuckets tally.Buckets
 
 	mu      sync.Mutex
 	tenants map[cassiatally.Tenant]tally.Scope
 	ranks   [cassiatally.MaxRanks]tally.Scope
-	// refusals counts callers that were told that their request was not run.
+	// refusals counts requests that were answered as not run.
 	refusals map[refusalKey]uint64
 }
 
@@ -61,7 +62,7 @@
 	Count uint64
 }
 
-// New returns a reporter whose metrics carry the name and data centre of the node.
+// New returns a reporter whose metrics are labelled with the node and its data centre.
 func New(node cassiatally.NodeID, dc cassiatally.DataCentre) (*Reporter, error) {
 	registry := prometheus.NewRegistry()
 	prom := tallyprom.NewReporter(tallyprom.Options{Registerer: registry, Gatherer: registry})
@@ -71,18 +72,18 @@
 		CachedReporter:         prom,
 		Separator:              tallyprom.DefaultSeparator,
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
-	latency, err := tally.ExponentialDurationBuckets(firstBucket, bucketStep, buckets)
+	}, reportInterval)
+	latency, err := tally.ExponentialDurationBuckets(firstBucket, bucketFactor, bucketCount)
 	if err != nil {
 		return nil, errors.Wrap(err, "latency buckets")
 	}
 	r := &Reporter{
-		scope:    scope,
-		closer:   closer,
-		handler:  prom.HTTPHandler(),
-		latency:  latency,
-		tenants:  make(map[cassiatally.Tenant]tally.Scope),
-		refusals: make(map[refusalKey]uint64),
+		scope:          scope,
+		closer:         closer,
+		handler:        prom.HTTPHandler(),
+		latencyBuckets: latency,
+		tenants:        make(map[cassiatally.Tenant]tally.Scope),
+		refusals:       make(map[refusalKey]uint64),
 	}
 	for i := range r.ranks {
 		r.ranks[i] = scope.Tagged(map[string]string{"rank": fmt.Sprint(i)})
@@ -93,27 +94,27 @@
 // Handler serves the metrics for scraping.
 func (r *Reporter) Handler() http.Handler { return r.handler }
 
-// Close stops the reports.
+// Close reports the remaining values and stops reporting.
 func (r *Reporter) Close() { _ = r.closer.Close() }
 
-// Request records the end of a caller's request.
+// Request records the answer to a caller's request.
 func (r *Reporter) Request(p cassiatally.Policy, t cassiatally.Tenant, a cassiatally.Answer, took time.Duration) {
 	rank := r.ranks[min(p.Rank, cassiatally.MaxRanks-1)]
-	rank.Histogram("request_latency", r.latency).RecordDuration(took)
+	rank.Histogram("request_latency", r.latencyBuckets).RecordDuration(took)
 	rank.Tagged(map[string]string{"outcome": a.Outcome.String(), "kind": a.Kind.String()}).Counter("requests").Inc(1)
-	r.tenant(t).Histogram("tenant_latency", r.latency).RecordDuration(took)
+	r.tenantScope(t).Histogram("tenant_latency", r.latencyBuckets).RecordDuration(took)
 	if a.Outcome == cassiatally.OutcomeNotRun {
-		r.refused(min(p.Rank, cassiatally.MaxRanks-1), a.Kind)
+		r.countRefusal(min(p.Rank, cassiatally.MaxRanks-1), a.Kind)
 	}
 }
 
-func (r *Reporter) refused(rank cassiatally.Rank, kind cassiatally.ErrorKind) {
+func (r *Reporter) countRefusal(rank cassiatally.Rank, kind cassiatally.ErrorKind) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refusals[refusalKey{rank, kind}]++
 }
 
-// Refusals returns what callers were refused, ordered by rank and kind.
+// Refusals returns the counts of refused requests, ordered by rank and kind.
 func (r *Reporter) Refusals() []Refusal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,7 +128,7 @@
 	return out
 }
 
-func (r *Reporter) tenant(t cassiatally.Tenant) tally.Scope {
+func (r *Reporter) tenantScope(t cassiatally.Tenant) tally.Scope {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s, ok := r.tenants[t]; ok {
@@ -144,10 +145,10 @@
 	return s
 }
 
-// Wait records the time that a started call spent in the queue before the
-// backend server.
+// Wait records the time that a started call spent in the queue of the backend
+// server.
 func (r *Reporter) Wait(rank cassiatally.Rank, waited time.Duration) {
-	r.ranks[min(rank, cassiatally.MaxRanks-1)].Histogram("queue_wait", r.latency).RecordDuration(waited)
+	r.ranks[min(rank, cassiatally.MaxRanks-1)].Histogram("queue_wait", r.latencyBuckets).RecordDuration(waited)
 }
 
 // Count adds to a counter with tags.
--- a/node/reporter/reporter_test.go
+++ b/node/reporter/reporter_test.go
@@ -13,8 +13,8 @@
 	"github.com/cassiatally/cassiatally/node/reporter"
 )
 
-// Guards against refusals that are counted under a wrong reason, and against
-// requests that were run or are unknown being counted as refused.
+// Guards against counting refusals under a wrong rank or kind, and against counting
+// requests as refused that were run or whose outcome is unknown.
 func TestRefusalsByRankAndKind(t *testing.T) {
 	is := is.New(t)
 	r, err := reporter.New("n1", "north")
@@ -37,8 +37,8 @@
 	})
 }
 
-// Guards against tenants that callers invent and that fill the memory of a node
-// with histograms.
+// Guards against callers that use ever new tenants and so fill the memory of a node with
+// histograms.
 func TestTenantsAreBounded(t *testing.T) {
 	is := is.New(t)
 	r, err := reporter.New("n1", "north")
@@ -47,7 +47,7 @@
 	for i := range tenants {
 		r.Request(cassiatally.Policy{}, cassiatally.Tenant(fmt.Sprintf("tenant-%d", i)), cassiatally.Answer{}, time.Millisecond)
 	}
-	r.Close() // reports what is left
+	r.Close() // reports the remaining values
 	w := httptest.NewRecorder()
 	r.Handler().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	is.Equal(strings.Count(w.Body.String(), "cassiatally_tenant_latency_count{"), 33) // 32 and the shared one
