--- a/node/sampler/sampler.go
+++ b/node/sampler/sampler.go
@@ -1,5 +1,5 @@
-// Package sampler is the duty that copies the state of a node into its metrics
-// once a second.
+// Package sampler provides the duty that exports the status of a node as metrics once a
+// second.
 //
 // # Usage
 //
@@ -18,7 +18,7 @@
 	"github.com/cassiatally/cassiatally/node/adminserver"
 )
 
-const every = time.Second
+const sampleInterval = time.Second
 
 // Sampler is the duty. Its fields are set before Run.
 type Sampler struct {
@@ -29,7 +29,7 @@
 	EachTime func()
 
 	duty looper.Looper[struct{}]
-	// totals has the values up to which each counter was advanced.
+	// totals has the last total of each counter, by name and tags.
 	totals map[string]uint64
 }
 
@@ -41,7 +41,7 @@
 		Inbox:    ring.New[struct{}](1, ring.RefuseNewest),
 		Handle:   func(cassiatally.Instant, struct{}) {},
 		Tick:     s.tick,
-		Interval: every,
+		Interval: sampleInterval,
 	}
 	s.duty.Run()
 }
@@ -57,7 +57,7 @@
 	s.requests(&st.Requests)
 	s.traffic(&st.Traffic)
 	for duty, n := range st.Refused {
-		s.total("inbox_refused", n, map[string]string{"duty": duty})
+		s.advanceCounter("inbox_refused", n, map[string]string{"duty": duty})
 	}
 	s.EachTime()
 }
@@ -72,13 +72,13 @@
 	s.Metrics.Gauge("members", float64(len(st.Members)))
 	s.Metrics.Gauge("suspects", float64(suspects))
 	s.Metrics.Gauge("sheet_version", float64(st.Sheet.Version))
-	s.Metrics.Gauge("follows_log", truth(st.Sheet.FollowsLog))
+	s.Metrics.Gauge("follows_log", boolGauge(st.Sheet.FollowsLog))
 	s.Metrics.Gauge("log_contact_seconds", st.Sheet.LogContactSeconds)
-	s.Metrics.Gauge("leaving", truth(st.Leaving))
+	s.Metrics.Gauge("leaving", boolGauge(st.Leaving))
 }
 
 func (s *Sampler) local(l *adminserver.LocalStatus) {
-	s.Metrics.Gauge("backend_ready", truth(l.State == cassiatally.EndpointReady.String()))
+	s.Metrics.Gauge("backend_ready", boolGauge(l.State == cassiatally.EndpointReady.String()))
 	s.Metrics.Gauge("slots", float64(l.Slots))
 	s.Metrics.Gauge("limit", float64(l.Limit))
 	s.Metrics.Gauge("runs_in_flight", float64(l.InFlight))
@@ -90,19 +90,19 @@
 		s.Metrics.RankGauge("level", cassiatally.Rank(r), level)
 	}
 	for _, v := range l.Sheds {
-		s.total("sheds", v.Count, map[string]string{"rank": fmt.Sprint(v.Rank), "kind": v.Kind})
+		s.advanceCounter("sheds", v.Count, map[string]string{"rank": fmt.Sprint(v.Rank), "kind": v.Kind})
 	}
-	s.total("late_results", l.LateResults, nil)
-	s.total("backend_crashes", l.Crashes, nil)
+	s.advanceCounter("late_results", l.LateResults, nil)
+	s.advanceCounter("backend_crashes", l.Crashes, nil)
 }
 
 func (s *Sampler) shards(st *adminserver.Status) {
-	held, standby, alone := 0, 0, 0
+	held, standby, withoutStandby := 0, 0, 0
 	for _, v := range st.Shards {
 		switch {
 		case v.Holder == st.Node && v.Standby == "":
 			held++
-			alone++
+			withoutStandby++
 		case v.Holder == st.Node:
 			held++
 		case v.Standby == st.Node:
@@ -111,37 +111,37 @@
 	}
 	s.Metrics.Gauge("shards_held", float64(held))
 	s.Metrics.Gauge("shards_standby", float64(standby))
-	s.Metrics.Gauge("shards_without_standby", float64(alone))
+	s.Metrics.Gauge("shards_without_standby", float64(withoutStandby))
 }
 
 func (s *Sampler) requests(r *adminserver.RequestStatus) {
 	s.Metrics.Gauge("callers_waiting", float64(r.InFlight))
-	s.total("refused_at_entry", r.RefusedAtEntry, nil)
-	s.total("retries", r.Retries, nil)
-	s.total("retries_denied", r.RetriesDenied, nil)
-	s.total("redirects", r.Redirects, nil)
-	s.total("late_answers", r.LateAnswers, nil)
-	s.total("incomplete_answers", r.Incomplete, nil)
-	s.total("foreign_answers", r.Foreign, nil)
-	s.total("outcome_queries", r.Queries, nil)
+	s.advanceCounter("refused_at_entry", r.RefusedAtEntry, nil)
+	s.advanceCounter("retries", r.Retries, nil)
+	s.advanceCounter("retries_denied", r.RetriesDenied, nil)
+	s.advanceCounter("redirects", r.Redirects, nil)
+	s.advanceCounter("late_answers", r.LateAnswers, nil)
+	s.advanceCounter("incomplete_answers", r.Incomplete, nil)
+	s.advanceCounter("foreign_answers", r.Foreign, nil)
+	s.advanceCounter("outcome_queries", r.Queries, nil)
 }
 
 func (s *Sampler) traffic(t *adminserver.TrafficStatus) {
 	s.Metrics.Gauge("links", float64(t.Links))
-	s.total("request_sent_bytes", t.RequestSent, nil)
-	s.total("request_received_bytes", t.RequestReceived, nil)
-	s.total("control_sent_bytes", t.ControlSent, nil)
-	s.total("control_received_bytes", t.ControlReceived, nil)
+	s.advanceCounter("request_sent_bytes", t.RequestSent, nil)
+	s.advanceCounter("request_received_bytes", t.RequestReceived, nil)
+	s.advanceCounter("control_sent_bytes", t.ControlSent, nil)
+	s.advanceCounter("control_received_bytes", t.ControlReceived, nil)
 }
 
-// total advances a counter to a value that only grows.
-func (s *Sampler) total(name string, value uint64, tags map[string]string) {
+// advanceCounter advances a counter to a total, which never decreases.
+func (s *Sampler) advanceCounter(name string, value uint64, tags map[string]string) {
 	key := fmt.Sprint(name, tags)
 	s.Metrics.Count(name, tags, int64(value-s.totals[key]))
 	s.totals[key] = value
 }
 
-func truth(b bool) float64 {
+func boolGauge(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/node/sampler/sampler_test.go
+++ b/node/sampler/sampler_test.go
@@ -13,7 +13,7 @@
 	"github.com/cassiatally/cassiatally/node/sampler"
 )
 
-// fakeClock advances by a minute at each reading, so that every wake is due.
+// fakeClock advances by a minute at each reading, so that a sample is always due.
 type fakeClock struct {
 	mu  sync.Mutex
 	now cassiatally.Instant
@@ -28,7 +28,7 @@
 
 func (c *fakeClock) Wall() time.Time { return time.Time{} }
 
-// fakeMetrics keeps the values of gauges and the sums of counters.
+// fakeMetrics records the values of gauges and the sums of counters.
 type fakeMetrics struct{ values map[string]float64 }
 
 func (f *fakeMetrics) Gauge(name string, v float64) { f.values[name] = v }
@@ -41,8 +41,8 @@
 	f.values[name+tags["rank"]+tags["kind"]+tags["duty"]] += float64(delta)
 }
 
-// Guards against counters that count totals again with each sample, and against
-// a state that the metrics tell wrongly.
+// Guards against counters that add the whole total again with each sample, and against
+// metrics that differ from the status.
 func TestSampleAdvancesCountersToTotals(t *testing.T) {
 	is := is.New(t)
 	metrics := &fakeMetrics{values: map[string]float64{}}
