--- a/node/command/command.go
+++ b/node/command/command.go
@@ -1,5 +1,5 @@
 // Package command runs the cassiatally-node program: it reads the settings, runs
-// the node until a signal, and drains it.
+// the node, and drains it on SIGTERM or SIGINT.
 //
 // # Usage
 //
@@ -27,14 +27,14 @@
 
 const name = "cassiatally-node"
 
-// options has everything that the program needs.
+// options has the flags, the streams and the stop signal of one run of the program.
 type options struct {
 	settings string
-	// help is set when it was asked for.
+	// help is the text to print instead of running the node; empty unless requested.
 	help   string
 	stdout io.Writer
 	stderr io.Writer
-	// stop ends when the node is told to stop.
+	// stop is done on SIGTERM or SIGINT.
 	stop context.Context
 }
 
--- a/node/main.go
+++ b/node/main.go
@@ -1,4 +1,5 @@
-// Command cassiatally-node is described in README.md.
+// Command cassiatally-node runs beside a backend server and controls its load; see
+// README.md.
 package main
 
 import (
