--- a/node/adminserver/status.go
+++ b/node/adminserver/status.go
@@ -14,8 +14,8 @@
 	Shards      []ShardStatus   `json:"shards"`
 	Requests    RequestStatus   `json:"requests"`
 	Traffic     TrafficStatus   `json:"traffic"`
-	// Refused counts, by duty, the messages refused because its inbox was full.
-	Refused map[string]uint64 `json:"refused_by_duty"`
+	// RefusedByDuty counts, by duty, the messages refused because its inbox was full.
+	RefusedByDuty map[string]uint64 `json:"refused_by_duty"`
 }
 
 // SheetStatus describes the sheet in force and the contact with the log.
@@ -106,22 +106,22 @@
 type RequestStatus struct {
 	InFlight int `json:"in_flight"`
 	// Refused counts requests that were answered as not run.
-	Refused        []ShedStatus `json:"refused"`
-	RefusedAtEntry uint64       `json:"refused_at_entry"`
-	Retries        uint64       `json:"retries"`
-	RetriesDenied  uint64       `json:"retries_denied"`
-	Redirects      uint64       `json:"redirects"`
-	LateAnswers    uint64       `json:"late_answers"`
-	Incomplete     uint64       `json:"incomplete_answers"`
-	Foreign        uint64       `json:"foreign_answers"`
-	Queries        uint64       `json:"outcome_queries"`
+	Refused           []ShedStatus `json:"refused"`
+	RefusedAtEntry    uint64       `json:"refused_at_entry"`
+	Retries           uint64       `json:"retries"`
+	RetriesDenied     uint64       `json:"retries_denied"`
+	Redirects         uint64       `json:"redirects"`
+	LateAnswers       uint64       `json:"late_answers"`
+	IncompleteAnswers uint64       `json:"incomplete_answers"`
+	ForeignAnswers    uint64       `json:"foreign_answers"`
+	OutcomeQueries    uint64       `json:"outcome_queries"`
 }
 
 // TrafficStatus counts bytes between nodes.
 type TrafficStatus struct {
-	Links           int    `json:"links"`
-	RequestSent     uint64 `json:"request_sent_bytes"`
-	RequestReceived uint64 `json:"request_received_bytes"`
-	ControlSent     uint64 `json:"control_sent_bytes"`
-	ControlReceived uint64 `json:"control_received_bytes"`
+	Links                int    `json:"links"`
+	RequestSentBytes     uint64 `json:"request_sent_bytes"`
+	RequestReceivedBytes uint64 `json:"request_received_bytes"`
+	ControlSentBytes     uint64 `json:"control_sent_bytes"`
+	ControlReceivedBytes uint64 `json:"control_received_bytes"`
 }
--- a/node/callerserver/server_test.go
+++ b/node/callerserver/server_test.go
@@ -23,7 +23,7 @@
 func TestRefusalOfResentKey(t *testing.T) {
 	s := &callerserver.Server{
 		Listen: "127.0.0.1:0", Policies: noSheet{}.policies, MaxInFlight: 10,
-		Reader: requestreader.Reader{MaxBody: 1 << 10, DefaultTimeout: time.Second, MaxTimeout: time.Second},
+		Reader: requestreader.Reader{MaxBodyBytes: 1 << 10, DefaultTimeout: time.Second, MaxTimeout: time.Second},
 		Clock:  fixedClock{},
 	}
 	if err := s.Run(); err != nil {
--- a/node/gatekeeper/gatekeeper.go
+++ b/node/gatekeeper/gatekeeper.go
@@ -340,7 +340,7 @@
 		AnnounceTTL: maxMissedHeartbeats * g.Settings.Heartbeat,
 		Logger:      g.logs,
 		Changed:     g.members.Endpoint,
-		Waits:       g.reports.Wait,
+		Waits:       g.reports.QueueWait,
 	}
 }
 
--- a/node/reporter/reporter.go
+++ b/node/reporter/reporter.go
@@ -145,9 +145,9 @@
 	return s
 }
 
-// Wait records the time that a started call spent in the queue of the backend
+// QueueWait records the time that a started call spent in the queue of the backend
 // server.
-func (r *Reporter) Wait(rank cassiatally.Rank, waited time.Duration) {
+func (r *Reporter) QueueWait(rank cassiatally.Rank, waited time.Duration) {
 	r.ranks[min(rank, cassiatally.MaxRanks-1)].Histogram("queue_wait", r.latencyBuckets).RecordDuration(waited)
 }
 
--- a/node/requestreader/reader.go
+++ b/node/requestreader/reader.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	rd := requestreader.Reader{MaxBody: 1 << 20, DefaultTimeout: time.Second, MaxTimeout: 30 * time.Second}
+//	rd := requestreader.Reader{MaxBodyBytes: 1 << 20, DefaultTimeout: time.Second, MaxTimeout: 30 * time.Second}
 //	parts, err := rd.Read(c)
 package requestreader
 
@@ -27,7 +27,7 @@
 
 // Reader reads requests. Its fields are set before the first Read.
 type Reader struct {
-	MaxBody        int64
+	MaxBodyBytes   int64
 	DefaultTimeout time.Duration
 	MaxTimeout     time.Duration
 }
@@ -116,11 +116,11 @@
 }
 
 func (rd Reader) readBody(r *http.Request) ([]byte, *cassiatally.Error) {
-	data, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, rd.MaxBody))
+	data, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, rd.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, cassiatally.NewError(cassiatally.KindTooLarge, "the body exceeds %d bytes", rd.MaxBody)
+		return nil, cassiatally.NewError(cassiatally.KindTooLarge, "the body exceeds %d bytes", rd.MaxBodyBytes)
 	case err != nil:
 		return nil, cassiatally.NewError(cassiatally.KindBadRequest, "the body could not be read: %v", err)
 	}
--- a/node/sampler/sampler.go
+++ b/node/sampler/sampler.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	s := &sampler.Sampler{Clock: clock, Status: node.Status, Metrics: reports, EachTime: logs.Flush}
+//	s := &sampler.Sampler{Clock: clock, Status: node.Status, Metrics: reports, AfterSample: logs.Flush}
 //	s.Run()
 //	defer s.Close()
 package sampler
@@ -25,8 +25,8 @@
 	Clock   cassiatally.Clock
 	Status  func() adminserver.Status
 	Metrics cassiatally.Metrics
-	// EachTime is called after each sample; it must not block.
-	EachTime func()
+	// AfterSample is called after each sample; it must not block.
+	AfterSample func()
 
 	duty looper.Looper[struct{}]
 	// totals has the last total of each counter, by name and tags.
@@ -56,10 +56,10 @@
 	s.shards(&st)
 	s.requests(&st.Requests)
 	s.traffic(&st.Traffic)
-	for duty, n := range st.Refused {
+	for duty, n := range st.RefusedByDuty {
 		s.advanceCounter("inbox_refused", n, map[string]string{"duty": duty})
 	}
-	s.EachTime()
+	s.AfterSample()
 }
 
 func (s *Sampler) fleet(st *adminserver.Status) {
@@ -121,17 +121,17 @@
 	s.advanceCounter("retries_denied", r.RetriesDenied, nil)
 	s.advanceCounter("redirects", r.Redirects, nil)
 	s.advanceCounter("late_answers", r.LateAnswers, nil)
-	s.advanceCounter("incomplete_answers", r.Incomplete, nil)
-	s.advanceCounter("foreign_answers", r.Foreign, nil)
-	s.advanceCounter("outcome_queries", r.Queries, nil)
+	s.advanceCounter("incomplete_answers", r.IncompleteAnswers, nil)
+	s.advanceCounter("foreign_answers", r.ForeignAnswers, nil)
+	s.advanceCounter("outcome_queries", r.OutcomeQueries, nil)
 }
 
 func (s *Sampler) traffic(t *adminserver.TrafficStatus) {
 	s.Metrics.Gauge("links", float64(t.Links))
-	s.advanceCounter("request_sent_bytes", t.RequestSent, nil)
-	s.advanceCounter("request_received_bytes", t.RequestReceived, nil)
-	s.advanceCounter("control_sent_bytes", t.ControlSent, nil)
-	s.advanceCounter("control_received_bytes", t.ControlReceived, nil)
+	s.advanceCounter("request_sent_bytes", t.RequestSentBytes, nil)
+	s.advanceCounter("request_received_bytes", t.RequestReceivedBytes, nil)
+	s.advanceCounter("control_sent_bytes", t.ControlSentBytes, nil)
+	s.advanceCounter("control_received_bytes", t.ControlReceivedBytes, nil)
 }
 
 // advanceCounter advances a counter to a total, which never decreases.
--- a/node/sampler/sampler_test.go
+++ b/node/sampler/sampler_test.go
@@ -61,12 +61,12 @@
 					State: "ready", Limit: 4, Levels: []float64{1, 0.5},
 					Sheds: []adminserver.ShedStatus{{Rank: 1, Kind: "overloaded", Count: 10 * (n + 1)}},
 				},
-				Shards:   []adminserver.ShardStatus{{Holder: "n1", Standby: "n2"}, {Holder: "n1"}, {Holder: "n2", Standby: "n1"}},
-				Requests: adminserver.RequestStatus{Retries: 5},
-				Refused:  map[string]uint64{"executor": 6},
+				Shards:        []adminserver.ShardStatus{{Holder: "n1", Standby: "n2"}, {Holder: "n1"}, {Holder: "n2", Standby: "n1"}},
+				Requests:      adminserver.RequestStatus{Retries: 5},
+				RefusedByDuty: map[string]uint64{"executor": 6},
 			}
 		},
-		EachTime: func() {
+		AfterSample: func() {
 			samples++
 			if samples == 3 {
 				close(third)
--- a/node/supervisor/supervisor.go
+++ b/node/supervisor/supervisor.go
@@ -201,7 +201,7 @@
 		Backend:    &backendclient.Client{},
 		Logger:     s.logs,
 		Changed:    s.members.Endpoint,
-		Waits:      s.reports.Wait,
+		Waits:      s.reports.QueueWait,
 	}
 }
 
@@ -274,7 +274,7 @@
 func (s *Supervisor) startServers() error {
 	cfg := s.Settings
 	reader := requestreader.Reader{
-		MaxBody:        int64(cfg.Requests.MaxBody),
+		MaxBodyBytes:   int64(cfg.Requests.MaxBody),
 		DefaultTimeout: cfg.Requests.DefaultTimeout,
 		MaxTimeout:     cfg.Requests.MaxTimeout,
 	}
@@ -298,7 +298,7 @@
 		}
 		s.onClose(server.Close)
 	}
-	s.samples = &sampler.Sampler{Clock: s.Clock, Status: s.Status, Metrics: s.reports, EachTime: s.logs.Flush}
+	s.samples = &sampler.Sampler{Clock: s.Clock, Status: s.Status, Metrics: s.reports, AfterSample: s.logs.Flush}
 	s.samples.Run()
 	s.onClose(s.samples.Close)
 	return nil
