--- a/node/sampler/sampler_test.go
+++ b/node/sampler/sampler_test.go
@@ -13,7 +13,7 @@
 	"github.com/cassiatally/cassiatally/node/sampler"
 )
 
-// fakeClock advances by a minute at each reading, so that every wake is due.
+// fakeClock advances by a minute at each reading, so that a sample is always due.
 type fakeClock struct {
 	mu  sync.Mutex
 	now cassiatally.Instant
@@ -28,7 +28,7 @@
 
 func (c *fakeClock) Wall() time.Time { return time.Time{} }
 
-// fakeMetrics keeps the values of gauges and the sums of counters.
+// fakeMetrics records the values of gauges and the sums of counters.
 type fakeMetrics struct{ values map[string]float64 }
 
 func (f *fakeMetrics) Gauge(name string, v float64) { f.values[name] = v }
@@ -41,8 +41,8 @@
 	f.values[name+tags["rank"]+tags["kind"]+tags["duty"]] += float64(delta)
 }
 
-// Guards against counters that count totals again with each sample, and against
-// a state that the metrics tell wrongly.
+// Guards against counters that add the whole total again with each sample, and against
+// metrics that differ from the status.
 func TestSampleAdvancesCountersToTotals(t *testing.T) {
 	is := is.New(t)
 	metrics := &fakeMetrics{values: map[string]float64{}}
@@ -61,12 +61,12 @@
 					State: "ready", Limit: 4, Levels: []float64{1, 0.5},
 					Sheds: []adminserver.ShedStatus{{Rank: 1, Kind: "overloaded", Count: 10 * (n + 1)}},
 				},
-				Shards:   []adminserver.ShardStatus{{Holder: "n1", Standby: "n2"}, {Holder: "n1"}, {Holder: "n2", Standby: "n1"}},
-				Requests: adminserver.RequestStatus{Retries: 5},
-				Refused:  map[string]uint64{"executor": 6},
+				Shards:        []adminserver.ShardStatus{{Holder: "n1", Standby: "n2"}, {Holder: "n1"}, {Holder: "n2", Standby: "n1"}},
+				Requests:      adminserver.RequestStatus{Retries: 5},
+				RefusedByDuty: map[string]uint64{"executor": 6},
 			}
 		},
-		EachTime: func() {
+		AfterSample: func() {
 			samples++
 			if samples == 3 {
 				close(third)
--- a/node/supervisor/status.go
+++ b/node/supervisor/status.go
@@ -12,25 +12,25 @@
 	"github.com/cassiatally/cassiatally/node/reporter"
 )
 
-// drainPoll is how often Drain looks whether the work in flight has ended.
+// drainPoll is how often Drain checks whether the work in flight has ended.
 const drainPoll = 20 * time.Millisecond
 
-// Drain tells other nodes that this one leaves, refuses new work, and waits until
-// the runs in flight have ended, callers have their answers and the shards are
-// handed over, or until the context ends.
+// Drain announces to other nodes that this one is leaving, refuses new work, and waits
+// until the runs in flight have ended, callers have their answers and the shards are
+// handed over, or until ctx is done.
 func (s *Supervisor) Drain(ctx context.Context) {
 	s.leaving.Store(true)
 	s.members.Leave()
 	s.executor.Leave()
 	s.claims.Drain()
-	look := time.NewTicker(drainPoll)
-	defer look.Stop()
+	poll := time.NewTicker(drainPoll)
+	defer poll.Stop()
 	for {
 		if s.drained() {
 			return
 		}
 		select {
-		case <-look.C:
+		case <-poll.C:
 		case <-ctx.Done():
 			s.Logger.Warn("drain not finished", "runs_in_flight", s.executor.Running(), "callers_waiting", s.callers.InFlight(), "shards_handed_over", s.claims.Drained())
 			return
@@ -42,7 +42,7 @@
 	return s.executor.Running() == 0 && s.callers.InFlight() == 0 && s.claims.Drained()
 }
 
-// Status returns what operators see.
+// Status returns the state of the node for operators and metrics.
 func (s *Supervisor) Status() adminserver.Status {
 	v := s.members.View()
 	counts := s.dispatcher.Counts()
@@ -59,18 +59,18 @@
 		Local:       s.localStatus(v),
 		Shards:      shardStatus(s.claims.Table()),
 		Requests: adminserver.RequestStatus{
-			InFlight:       s.callers.InFlight(),
-			Refused:        refusedStatus(s.reports.Refusals()),
-			RefusedAtEntry: counts.RefusedAtEntry,
-			Retries:        counts.Retries,
-			RetriesDenied:  counts.RetriesDenied,
-			Redirects:      counts.Redirects,
-			LateAnswers:    counts.LateAnswers,
-			Incomplete:     counts.IncompleteAnswers,
-			Foreign:        counts.ForeignAnswers,
-			Queries:        counts.OutcomeQueries,
+			InFlight:          s.callers.InFlight(),
+			Refused:           refusedStatus(s.reports.Refusals()),
+			RefusedAtEntry:    counts.RefusedAtEntry,
+			Retries:           counts.Retries,
+			RetriesDenied:     counts.RetriesDenied,
+			Redirects:         counts.Redirects,
+			LateAnswers:       counts.LateAnswers,
+			IncompleteAnswers: counts.IncompleteAnswers,
+			ForeignAnswers:    counts.ForeignAnswers,
+			OutcomeQueries:    counts.OutcomeQueries,
 		},
-		Refused: map[string]uint64{
+		RefusedByDuty: map[string]uint64{
 			"dispatcher":   s.dispatcher.Refused(),
 			"executor":     s.executor.Refused(),
 			"claimkeeper":  s.claims.Refused(),
@@ -78,11 +78,11 @@
 			"memberkeeper": s.members.Refused(),
 		},
 		Traffic: adminserver.TrafficStatus{
-			Links:           s.links.Links(),
-			RequestSent:     traffic.RequestSent,
-			RequestReceived: traffic.RequestReceived,
-			ControlSent:     traffic.ControlSent,
-			ControlReceived: traffic.ControlReceived,
+			Links:                s.links.Links(),
+			RequestSentBytes:     traffic.RequestSent,
+			RequestReceivedBytes: traffic.RequestReceived,
+			ControlSentBytes:     traffic.ControlSent,
+			ControlReceivedBytes: traffic.ControlReceived,
 		},
 	}
 }
@@ -212,7 +212,7 @@
 	dataCentre cassiatally.DataCentre
 }
 
-// levelSum adds up levels by rank, weighted by the limits of the endpoints.
+// levelSum sums admission levels by rank, weighted by the limits of the endpoints.
 type levelSum struct {
 	weight float64
 	levels []float64
