--- a/operator/adviser/adviser.go
+++ b/operator/adviser/adviser.go
@@ -1,4 +1,4 @@
-// Package adviser tells callers what to do next after each kind of error.
+// Package adviser has advice on what to do next for each kind of error.
 //
 // # Usage
 //
@@ -7,16 +7,16 @@
 
 import "github.com/cassiatally/cassiatally/cassiatally"
 
-// Adviser knows what to do for each error kind.
+// Adviser returns the advice for error kinds.
 type Adviser struct{}
 
 const (
-	lookUp    = "look the key up with cassiatally key show; never send the work again under a new key on your own"
-	sendAgain = "send the request again later, or add --resend N"
+	lookUpAdvice = "look the key up with cassiatally key show; never send the work again under a new key on your own"
+	resendAdvice = "send the request again later, or add --resend N"
 )
 
-// unkeyed replaces the advice to look a key up for requests that have none.
-const unkeyed = "the kind of work is idempotent, so send the request again"
+// unkeyedAdvice replaces lookUpAdvice for requests without a key.
+const unkeyedAdvice = "the kind of work is idempotent, so send the request again"
 
 var advice = map[cassiatally.ErrorKind]string{
 	cassiatally.KindBadRequest:         "correct the request",
@@ -30,21 +30,21 @@
 	cassiatally.KindAnswerExpired:      "it was run; ask the service for its result",
 	cassiatally.KindParentIdempotent:   "mark the parent's kind of work as not idempotent in the sheet, or have it send a minted key",
 	cassiatally.KindUnknownParent:      "have the backend server pass on the Cassiatally-Run header of the run",
-	cassiatally.KindOverloaded:         sendAgain,
+	cassiatally.KindOverloaded:         resendAdvice,
 	cassiatally.KindExpired:            "allow more time with --timeout",
 	cassiatally.KindCancelled:          "it was cancelled; send it again if it is still wanted",
-	cassiatally.KindNoBackend:          "see cassiatally status for the endpoints of the service and the sheet in force; " + sendAgain,
-	cassiatally.KindDraining:           sendAgain,
-	cassiatally.KindRetryBudgetSpent:   sendAgain,
-	cassiatally.KindUnavailable:        lookUp,
-	cassiatally.KindOutcomeUnknown:     lookUp,
+	cassiatally.KindNoBackend:          "see cassiatally status for the endpoints of the service and the sheet in force; " + resendAdvice,
+	cassiatally.KindDraining:           resendAdvice,
+	cassiatally.KindRetryBudgetSpent:   resendAdvice,
+	cassiatally.KindUnavailable:        lookUpAdvice,
+	cassiatally.KindOutcomeUnknown:     lookUpAdvice,
 	cassiatally.KindBackendFailed:      "see the body",
-	cassiatally.KindBackendRefused:     sendAgain,
-	cassiatally.KindIncompleteAnswer:   lookUp,
+	cassiatally.KindBackendRefused:     resendAdvice,
+	cassiatally.KindIncompleteAnswer:   lookUpAdvice,
 	cassiatally.KindQuarantined:        "do not send it again: it has crashed backend servers; see docs/OPERATIONS.md",
 	cassiatally.KindProtocol:           "report it with the versions of the nodes",
 	cassiatally.KindUnsupportedVersion: "update the older node",
-	cassiatally.KindUnreachable:        "check that the node runs and that the address is its listen.callers; " + sendAgain,
+	cassiatally.KindUnreachable:        "check that the node runs and that the address is its listen.callers; " + resendAdvice,
 	cassiatally.KindInvalidSheet:       "correct the sheet; cassiatally sheet check shows every problem",
 	cassiatally.KindVersionConflict:    "look at the sheet in force and publish again with its version in --based-on",
 	cassiatally.KindLogUnavailable:     "try again when the log service answers",
@@ -53,14 +53,15 @@
 	cassiatally.KindInternal:           "report it with the log of the node",
 }
 
-// Advice returns what to do after an error of the named kind.
+// Advice returns what to do after an error of the named kind. A request is keyed
+// when it was sent with an idempotency key.
 func (Adviser) Advice(kind string, keyed bool) string {
 	for k, text := range advice {
 		if k.String() != kind {
 			continue
 		}
-		if text == lookUp && !keyed {
-			return unkeyed
+		if text == lookUpAdvice && !keyed {
+			return unkeyedAdvice
 		}
 		return text
 	}
--- a/operator/cli/command.go
+++ b/operator/cli/command.go
@@ -1,4 +1,4 @@
-// Package cli defines what a command of the program consists of.
+// Package cli defines the type of the program's commands and prints their help.
 //
 // # Usage
 //
@@ -17,9 +17,9 @@
 
 // Command is one command of the program.
 type Command struct {
-	// Name has the words after the program's name, such as "sheet check".
+	// Name is the words after the program's name, such as "sheet check".
 	Name string
-	// Arguments follow the name in the usage line.
+	// Arguments follows the name in the usage line.
 	Arguments   string
 	Summary     string
 	Description string
--- a/operator/command/call/call.go
+++ b/operator/command/call/call.go
@@ -1,4 +1,4 @@
-// Package call sends a request as a caller does and tells its outcome.
+// Package call sends a request as a caller does and prints its outcome.
 //
 // # Usage
 //
@@ -93,19 +93,19 @@
 	if err := validate(o); err != nil {
 		return err
 	}
-	body, err := bodyOf(o)
+	body, err := readBody(o)
 	if err != nil {
 		return err
 	}
-	begun := o.Env.Clock.Now()
+	started := o.Env.Clock.Now()
 	s := newSender(o, body)
 	if err := s.run(ctx); err != nil {
 		return err
 	}
-	if err := show(o, s, o.Env.Clock.Now().Sub(begun)); err != nil {
+	if err := printAnswer(o, s, o.Env.Clock.Now().Sub(started)); err != nil {
 		return err
 	}
-	return verdict(s)
+	return resultError(s)
 }
 
 func validate(o *Options) error {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-func bodyOf(o *Options) ([]byte, error) {
+func readBody(o *Options) ([]byte, error) {
 	if o.File == "" {
 		return []byte(o.Body), nil
 	}
@@ -142,7 +142,7 @@
 	return data, nil
 }
 
-func show(o *Options, s *sender, took time.Duration) error {
+func printAnswer(o *Options, s *sender, took time.Duration) error {
 	a := s.answer
 	out := output{
 		Outcome: a.Outcome.String(), Status: a.Status, Kind: a.Kind, Detail: a.Detail, Key: string(s.key), Request: a.Request,
@@ -170,10 +170,10 @@
 	return err
 }
 
-// verdict returns nil when the request was run successfully. The error carries no
-// kind of the closed list, since a kind that stands for wrong usage of HTTP would
-// exit with the code for wrong usage of the command.
-func verdict(s *sender) error {
+// resultError returns nil when the request was run successfully. The error has no
+// ErrorKind: a kind for a malformed HTTP request would make the program exit with
+// the code for wrong usage of the command.
+func resultError(s *sender) error {
 	a := s.answer
 	if a.Outcome == cassiatally.OutcomeRan && a.Kind == "" && a.Status < http.StatusBadRequest {
 		return nil
--- a/operator/command/call/sender.go
+++ b/operator/command/call/sender.go
@@ -11,27 +11,27 @@
 	"github.com/cassiatally/cassiatally/operator/nodeclient"
 )
 
-// answerGrace is the time beyond the timeout in which the node's own answer to
-// an expired request arrives.
+// answerGrace is added to the timeout, so that the node's own answer to an expired
+// request still arrives.
 const answerGrace = time.Second
 
-// sendAgain has the kinds of refusal that a later send may escape.
-var sendAgain = []string{
+// resendableKinds are the refusals after which a later send may succeed.
+var resendableKinds = []string{
 	cassiatally.KindOverloaded.String(), cassiatally.KindExpired.String(), cassiatally.KindNoBackend.String(),
 	cassiatally.KindDraining.String(), cassiatally.KindRetryBudgetSpent.String(), cassiatally.KindUnreachable.String(),
 	cassiatally.KindUnavailable.String(),
 }
 
-// sender sends one request until its outcome is known or no send is left.
+// sender sends one request until its outcome is known or no re-send is left.
 type sender struct {
-	client  nodeclient.Client
-	node    cassiatally.Address
-	request nodeclient.Request
-	resends int
+	client      nodeclient.Client
+	node        cassiatally.Address
+	request     nodeclient.Request
+	resendsLeft int
 
 	key cassiatally.Key
-	// minted is set when this command minted the key, so that it knows how often
-	// the key was sent.
+	// minted is set when this command minted the key; only then does it know how
+	// often the key was sent.
 	minted   bool
 	attempt  int
 	sends    int
@@ -47,8 +47,8 @@
 			Service: cassiatally.Service(o.Service), Work: cassiatally.WorkKind(o.Kind), Tenant: cassiatally.Tenant(o.Tenant),
 			Timeout: o.Timeout, Body: body,
 		},
-		resends: o.Resend,
-		key:     cassiatally.Key(o.Key),
+		resendsLeft: o.Resend,
+		key:         cassiatally.Key(o.Key),
 	}
 }
 
@@ -66,18 +66,18 @@
 		if s.answer.Outcome == cassiatally.OutcomeUnknown && s.key != "" {
 			s.lookUp(ctx)
 		}
-		if s.resends == 0 || !s.mayResend() {
+		if s.resendsLeft == 0 || !s.mayResend() {
 			return nil
 		}
-		s.resends--
+		s.resendsLeft--
 		if err := s.prepareResend(ctx); err != nil {
 			return err
 		}
 	}
 }
 
-// send sends the request once. A missing or broken answer becomes an answer with
-// the outcome unknown, since the request may have been run.
+// send sends the request once. A missing or incomplete answer becomes an answer
+// with the outcome unknown, since the request may have been run.
 func (s *sender) send(ctx context.Context) error {
 	s.request.Key, s.request.Attempt = s.key, 0
 	if s.minted {
@@ -95,11 +95,11 @@
 	if kind := cassiatally.KindOf(err); kind == cassiatally.KindUsage || ctx.Err() != nil {
 		return err
 	}
-	s.answer = lost(err)
+	s.answer = unknownAnswer(err)
 	return nil
 }
 
-func lost(err error) nodeclient.Answer {
+func unknownAnswer(err error) nodeclient.Answer {
 	var e *cassiatally.Error
 	if !errors.As(err, &e) {
 		e = cassiatally.NewError(cassiatally.KindInternal, "%v", err)
@@ -118,7 +118,8 @@
 	return nil
 }
 
-// lookUp replaces an unknown outcome by the one that the holder of the key tells.
+// lookUp replaces an unknown outcome by the one that the holder of the key has
+// recorded.
 func (s *sender) lookUp(ctx context.Context) {
 	s.lookedUp = true
 	limited, cancel := context.WithTimeout(ctx, s.request.Timeout+answerGrace)
@@ -131,20 +132,22 @@
 
 // mayResend reports whether another send may help and cannot run the request
 // twice: a request with a key runs at most once, and one without a key is
-// idempotent or was refused for want of a key.
+// idempotent or was refused because it had none.
 func (s *sender) mayResend() bool {
 	switch s.answer.Outcome {
 	case cassiatally.OutcomeRan:
 		return false
 	case cassiatally.OutcomeNotRun:
-		// A key given by the user is void now; only the user may replace it.
-		return slices.Contains(sendAgain, s.answer.Kind) && (s.key == "" || s.minted)
+		// The refusal has used up the key. Only the user may replace a key that the
+		// user gave.
+		return slices.Contains(resendableKinds, s.answer.Kind) && (s.key == "" || s.minted)
 	default:
 		return s.answer.Kind != cassiatally.KindKeyExpired.String()
 	}
 }
 
-// prepareResend waits as long as the node asked for and replaces a void key.
+// prepareResend waits as long as the node asked for and replaces a key that a
+// refusal has used up.
 func (s *sender) prepareResend(ctx context.Context) error {
 	wait := time.NewTimer(s.answer.RetryAfter)
 	defer wait.Stop()
--- a/operator/command/command.go
+++ b/operator/command/command.go
@@ -1,5 +1,5 @@
-// Package command runs the cassiatally program. Each command is in a package
-// below it.
+// Package command parses the command line of the cassiatally program and runs the
+// command that it names. Each command has a package below this one.
 //
 // # Usage
 //
@@ -45,7 +45,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	env := environment.Environment{
-		Stdin:    piped(stdin),
+		Stdin:    pipedInput(stdin),
 		Stdout:   stdout,
 		Stderr:   stderr,
 		Terminal: isTerminal(stdout),
@@ -59,8 +59,8 @@
 	return Execute(ctx, env, args[1:])
 }
 
-// Execute runs the command that the arguments name. It prints an error once, in
-// one line, and returns the exit code.
+// Execute runs the command that the arguments name. It prints an error as one
+// line and returns the exit code.
 func Execute(ctx context.Context, env environment.Environment, args []string) cassiatally.ExitCode {
 	err := dispatch(ctx, env, args)
 	if err == nil {
@@ -97,7 +97,7 @@
 			return c.Execute(ctx, env, args[len(words):])
 		}
 	}
-	if len(args) > 0 && asksForHelp(args[len(args)-1]) {
+	if len(args) > 0 && isHelpArgument(args[len(args)-1]) {
 		_, err := fmt.Fprint(env.Stdout, overview(all))
 		return err
 	}
@@ -107,7 +107,7 @@
 	return cassiatally.NewError(cassiatally.KindUsage, "%q is not a command; see cassiatally --help", strings.Join(args[:min(2, len(args))], " "))
 }
 
-func asksForHelp(arg string) bool { return arg == "help" || arg == "--help" || arg == "-h" }
+func isHelpArgument(arg string) bool { return arg == "help" || arg == "--help" || arg == "-h" }
 
 func overview(all []cli.Command) string {
 	var b strings.Builder
@@ -119,8 +119,9 @@
 	return b.String()
 }
 
-// piped returns r unless it is a terminal, on which nobody types log lines.
-func piped(r io.Reader) io.Reader {
+// pipedInput returns r, or nil when r is a terminal: log lines are piped in, not
+// typed.
+func pipedInput(r io.Reader) io.Reader {
 	if f, ok := r.(*os.File); ok && isatty.IsTerminal(f.Fd()) {
 		return nil
 	}
--- a/operator/command/command_test.go
+++ b/operator/command/command_test.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	header = "service,kind,rank,share,target,idempotent\n"
-	first  = header + "a,look,1,0.1,1s,true\n"
-	second = header + "a,look,1,0.2,1s,true\na,sign,0,,2s,false\n"
-	broken = header + "a,look,9,0.1,1s,true\na,sign,0,,2,false\n"
+	sheetHeader  = "service,kind,rank,share,target,idempotent\n"
+	firstSheet   = sheetHeader + "a,look,1,0.1,1s,true\n"
+	secondSheet  = sheetHeader + "a,look,1,0.2,1s,true\na,sign,0,,2s,false\n"
+	invalidSheet = sheetHeader + "a,look,9,0.1,1s,true\na,sign,0,,2,false\n"
 
-	settings = "node: {id: n1, data_centre: north}\nlisten: {callers: 127.0.0.1:7400, links: 127.0.0.1:7402}\n" +
+	validSettings = "node: {id: n1, data_centre: north}\nlisten: {callers: 127.0.0.1:7400, links: 127.0.0.1:7402}\n" +
 		"log: {address: http://127.0.0.1:7500}\n"
-	brokenSettings = "node:\n  id:  \"\"\n  data_centre: north\nlisten: {callers: 7400, links: 127.0.0.1:7402}\n"
+	invalidSettings = "node:\n  id:  \"\"\n  data_centre: north\nlisten: {callers: 7400, links: 127.0.0.1:7402}\n"
 )
 
-// fakeLog keeps the stream in memory.
+// fakeLog is a log service that keeps one stream in memory.
 type fakeLog struct {
 	records [][]byte
 	down    bool
@@ -55,21 +55,21 @@
 	log      fakeLog
 	terminal bool
 	dir      string
-	// timeout is that of the requests of the last command.
+	// timeout is the timeout of requests to the log that the last command set.
 	timeout time.Duration
 }
 
 func newProgram(t *testing.T) *program {
 	p := &program{dir: t.TempDir()}
 	for name, text := range map[string]string{
-		"first.csv": first, "second.csv": second, "broken.csv": broken, "node.yaml": settings, "broken.yaml": brokenSettings,
+		"first.csv": firstSheet, "second.csv": secondSheet, "broken.csv": invalidSheet, "node.yaml": validSettings, "broken.yaml": invalidSettings,
 	} {
 		is.New(t).NoErr(os.WriteFile(filepath.Join(p.dir, name), []byte(text), 0o600))
 	}
 	return p
 }
 
-// run executes a command line in which names that end in .csv or .yaml are files of the program.
+// run executes a command line. Arguments that end in .csv or .yaml are files in p.dir.
 func (p *program) run(line string) (code cassiatally.ExitCode, stdout, stderr string) {
 	args := strings.Fields(line)
 	for i, a := range args {
@@ -90,8 +90,8 @@
 	return code, out.String(), errs.String()
 }
 
-// Guards against commands that end the process by themselves, exit with another
-// code than documented, or print errors more than once.
+// Guards against commands that exit with another code than documented, print an
+// error more than once, or end the process themselves.
 func TestExitCodes(t *testing.T) {
 	cases := []struct {
 		name, line     string
@@ -163,15 +163,15 @@
 	}
 }
 
-// Guards against an operator who is not told that a race was lost, and against
-// output that programs cannot read.
+// Guards against a publish that lost a race but exits as if it was accepted, and
+// against output that programs cannot parse.
 func TestPublishShowAndHistory(t *testing.T) {
 	is := is.New(t)
 	p := newProgram(t)
 	code, stdout, _ := p.run("sheet publish first.csv --log x --based-on 0")
 	is.Equal(code, cassiatally.ExitSuccess)
 	is.Equal(stdout, "version 1 accepted at offset 0\n")
-	is.True(p.timeout <= 5*time.Second) // a silent append must leave time to read back
+	is.True(p.timeout <= 5*time.Second) // an append without an answer must leave time to read back
 	code, stdout, stderr := p.run("sheet publish second.csv --log x --based-on 0 --publisher rival")
 	is.Equal(code, cassiatally.ExitFailure)
 	is.True(strings.Contains(stderr, "version_conflict: the sheet is based on version 0, but version 1 by planner is in force"))
--- a/operator/command/completion/completion.go
+++ b/operator/command/completion/completion.go
@@ -23,7 +23,7 @@
 // Options are the inputs of the command.
 type Options struct {
 	Env environment.Environment
-	// Commands are completed.
+	// Commands are the commands that the script completes.
 	Commands []cli.Command
 	Shell    string
 }
@@ -45,7 +45,7 @@
 		Name:        "completion",
 		Arguments:   "SHELL",
 		Summary:     "Print a completion script for a shell.",
-		Description: "The script completes commands and flags. SHELL is " + names() + ".",
+		Description: "The script completes commands and flags. SHELL is " + shellNames() + ".",
 		Examples:    []string{"source <(cassiatally completion bash)"},
 		Parser:      p,
 		Run:         func(ctx context.Context) error { return Run(ctx, o) },
@@ -56,19 +56,19 @@
 func Run(_ context.Context, o *Options) error {
 	generate, ok := generators[o.Shell]
 	if !ok {
-		return cassiatally.NewError(cassiatally.KindUsage, "%q is not a known shell; use %s", o.Shell, names())
+		return cassiatally.NewError(cassiatally.KindUsage, "%q is not a known shell; use %s", o.Shell, shellNames())
 	}
-	_, err := fmt.Fprint(o.Env.Stdout, generate(tree(o.Commands)))
+	_, err := fmt.Fprint(o.Env.Stdout, generate(completionParser(o.Commands)))
 	return err
 }
 
-func names() string {
+func shellNames() string {
 	return strings.Join(slices.Sorted(maps.Keys(generators)), ", ")
 }
 
-// tree joins the parsers of the commands, each of which parses on its own, into
-// one from which flaggy generates a script.
-func tree(commands []cli.Command) *flaggy.Parser {
+// completionParser joins the separate parsers of the commands into one, from
+// which flaggy generates a script.
+func completionParser(commands []cli.Command) *flaggy.Parser {
 	root := flaggy.NewParser("cassiatally")
 	groups := map[string]*flaggy.Subcommand{}
 	for _, c := range commands {
--- a/operator/command/key/show/show.go
+++ b/operator/command/key/show/show.go
@@ -1,4 +1,4 @@
-// Package show tells what became of the request with an idempotency key.
+// Package show prints the outcome of the request with an idempotency key.
 //
 // # Usage
 //
@@ -87,7 +87,7 @@
 	if a.Kind == "" {
 		out.Body = string(a.Body)
 	}
-	if err := print(o, out); err != nil {
+	if err := printOutcome(o, out); err != nil {
 		return err
 	}
 	if a.Outcome == cassiatally.OutcomeUnknown {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func print(o *Options, out output) error {
+func printOutcome(o *Options, out output) error {
 	if o.JSON {
 		return json.NewEncoder(o.Env.Stdout).Encode(out)
 	}
--- a/operator/command/node_test.go
+++ b/operator/command/node_test.go
@@ -55,9 +55,9 @@
 // of a list repeats.
 type fakeNode struct {
 	calls, lookups []reply
-	// seen has key and attempt of each call, and the keys that were looked up.
-	seen   []string
-	minted int
+	// received has key and attempt of each call, and the keys that were looked up.
+	received []string
+	minted   int
 }
 
 func (f *fakeNode) next(list *[]reply) reply {
@@ -75,10 +75,10 @@
 		w.WriteHeader(http.StatusCreated)
 		fmt.Fprintf(w, `{"key":"dc.0.1.%016x"}`, f.minted)
 	case strings.HasPrefix(r.URL.Path, "/v1/keys/"):
-		f.seen = append(f.seen, "lookup "+strings.TrimPrefix(r.URL.Path, "/v1/keys/"))
+		f.received = append(f.received, "lookup "+strings.TrimPrefix(r.URL.Path, "/v1/keys/"))
 		f.next(&f.lookups).write(w)
 	case r.URL.Path == "/v1/call/a/sign":
-		f.seen = append(f.seen, strings.TrimSpace("call "+r.Header.Get("Idempotency-Key")+" "+r.Header.Get("Cassiatally-Attempt")))
+		f.received = append(f.received, strings.TrimSpace("call "+r.Header.Get("Idempotency-Key")+" "+r.Header.Get("Cassiatally-Attempt")))
 		f.next(&f.calls).write(w)
 	default:
 		http.NotFound(w, r)
@@ -92,60 +92,60 @@
 }
 
 var (
-	needsKey = reply{outcome: "not_run", kind: "key_required", status: 428}
-	done     = reply{outcome: "ran", status: 200, body: "signed"}
-	shed     = reply{outcome: "not_run", kind: "overloaded", status: 503}
-	lost     = reply{outcome: "unknown", kind: "outcome_unknown", status: 502}
+	keyRequiredReply = reply{outcome: "not_run", kind: "key_required", status: 428}
+	ranReply         = reply{outcome: "ran", status: 200, body: "signed"}
+	shedReply        = reply{outcome: "not_run", kind: "overloaded", status: 503}
+	unknownReply     = reply{outcome: "unknown", kind: "outcome_unknown", status: 502}
 )
 
-// Guards against a work that a re-send runs twice, an unknown outcome that is not
-// looked up, a damaged answer that passes as whole, and a wrong exit code.
+// Guards against a request that a re-send runs twice, an unknown outcome that is
+// not looked up, a damaged answer that is accepted, and a wrong exit code.
 func TestCall(t *testing.T) {
 	cases := []struct {
 		name           string
 		calls, lookups []reply
 		flags          string
 		code           cassiatally.ExitCode
-		seen           []string
+		received       []string
 		stdout, stderr string
 	}{
-		{"idempotent", []reply{done}, nil, "", 0, []string{"call"}, "outcome\tran\nstatus\t200\n", ""},
-		{"mints a key", []reply{needsKey, done}, nil, "", 0, []string{"call", "call " + firstKey + " 1"}, "\n\nsigned\n", ""},
-		{"given key has no attempt", []reply{done}, nil, "--key " + secondKey, 0, []string{"call " + secondKey}, "key\t" + secondKey, ""},
+		{"idempotent", []reply{ranReply}, nil, "", 0, []string{"call"}, "outcome\tran\nstatus\t200\n", ""},
+		{"mints a key", []reply{keyRequiredReply, ranReply}, nil, "", 0, []string{"call", "call " + firstKey + " 1"}, "\n\nsigned\n", ""},
+		{"given key has no attempt", []reply{ranReply}, nil, "--key " + secondKey, 0, []string{"call " + secondKey}, "key\t" + secondKey, ""},
 		{"backend server failed", []reply{{outcome: "ran", status: 500, body: "no"}}, nil, "", 1, []string{"call"}, "outcome\tran", "status 500"},
-		{"shed, no re-send", []reply{shed}, nil, "", 1, []string{"call"}, "kind\toverloaded", "send the request again later"},
-		{"shed, re-send", []reply{shed, done}, nil, "--resend 1", 0, []string{"call", "call"}, "sends\t2", ""},
+		{"shed, no re-send", []reply{shedReply}, nil, "", 1, []string{"call"}, "kind\toverloaded", "send the request again later"},
+		{"shed, re-send", []reply{shedReply, ranReply}, nil, "--resend 1", 0, []string{"call", "call"}, "sends\t2", ""},
 		{
 			"shed with a key, re-send under a new one",
-			[]reply{needsKey, shed, done},
+			[]reply{keyRequiredReply, shedReply, ranReply},
 			nil,
 			"--resend 1", 0,
 			[]string{"call", "call " + firstKey + " 1", "call " + secondKey + " 1"},
 			"key\t" + secondKey, "",
 		},
-		{"given key is void", []reply{shed}, nil, "--resend 2 --key " + firstKey, 1, []string{"call " + firstKey}, "not_run", "overloaded"},
+		{"given key is used up", []reply{shedReply}, nil, "--resend 2 --key " + firstKey, 1, []string{"call " + firstKey}, "not_run", "overloaded"},
 		{"quarantined is not sent again", []reply{{outcome: "not_run", kind: "quarantined", status: 422}}, nil, "--resend 2", 1, []string{"call"}, "", "do not send it again"},
 		{"malformed exits with 1", []reply{{outcome: "not_run", kind: "bad_request", status: 400}}, nil, "", 1, []string{"call"}, "", "bad_request: correct"},
 		{
-			"unknown, look-up tells it ran",
-			[]reply{needsKey, lost},
-			[]reply{done},
+			"unknown, look-up finds that it ran",
+			[]reply{keyRequiredReply, unknownReply},
+			[]reply{ranReply},
 			"", 0,
 			[]string{"call", "call " + firstKey + " 1", "lookup " + firstKey},
 			"outcome\tran", "",
 		},
 		{
 			"unknown, same key again",
-			[]reply{needsKey, lost, done},
-			[]reply{lost},
+			[]reply{keyRequiredReply, unknownReply, ranReply},
+			[]reply{unknownReply},
 			"--resend 1", 0,
 			[]string{"call", "call " + firstKey + " 1", "lookup " + firstKey, "call " + firstKey + " 2"},
 			"outcome\tran", "",
 		},
 		{
 			"stays unknown",
-			[]reply{needsKey, lost},
-			[]reply{lost},
+			[]reply{keyRequiredReply, unknownReply},
+			[]reply{unknownReply},
 			"", 1,
 			[]string{"call", "call " + firstKey + " 1", "lookup " + firstKey},
 			"outcome\tunknown", "never send the work again under a new key",
@@ -154,8 +154,8 @@
 		{"cut off", []reply{{outcome: "ran", status: 200, body: "b", damage: "length"}}, nil, "", 1, []string{"call"}, "outcome\tunknown", "incomplete_answer"},
 		{
 			"no answer with a key",
-			[]reply{needsKey, {damage: "none"}},
-			[]reply{done},
+			[]reply{keyRequiredReply, {damage: "none"}},
+			[]reply{ranReply},
 			"", 0,
 			[]string{"call", "call " + firstKey + " 1", "lookup " + firstKey},
 			"outcome\tran", "",
@@ -167,18 +167,18 @@
 			f := &fakeNode{calls: c.calls, lookups: c.lookups}
 			code, stdout, stderr := newProgram(t).run("call a sign --node " + f.start(t) + " --body b " + c.flags)
 			is.Equal(code, c.code)
-			is.Equal(f.seen, c.seen)
+			is.Equal(f.received, c.received)
 			is.True(strings.Contains(stdout, c.stdout))
 			is.True(strings.Contains(stderr, c.stderr))
 		})
 	}
 }
 
-// Guards against JSON that lacks what the text has, and against an outcome that
-// key show turns into another exit code.
+// Guards against JSON without fields that the text has, and against a wrong exit
+// code of key show for an outcome.
 func TestKeysAndCallAsJSON(t *testing.T) {
 	is := is.New(t)
-	f := &fakeNode{calls: []reply{done}, lookups: []reply{done, {outcome: "not_run", kind: "expired", status: 504}, lost}}
+	f := &fakeNode{calls: []reply{ranReply}, lookups: []reply{ranReply, {outcome: "not_run", kind: "expired", status: 504}, unknownReply}}
 	node := f.start(t)
 	code, stdout, _ := newProgram(t).run("call a sign --json --node " + node)
 	is.Equal(code, cassiatally.ExitSuccess)
@@ -197,7 +197,7 @@
 	is.True(strings.Contains(stderr, "never send the work again under a new key"))
 }
 
-// Guards against an error kind for which an operator is told nothing.
+// Guards against an error kind without advice.
 func TestEachErrorKindHasAdvice(t *testing.T) {
 	is := is.New(t)
 	for _, k := range cassiatally.ErrorKinds() {
@@ -205,7 +205,7 @@
 	}
 }
 
-func statusOf(node string) string {
+func statusJSON(node string) string {
 	return `{"node":"` + node + `","data_centre":"north","control":"adaptive","sheet":{"version":7,"follows_log":true,"log_contact_seconds":0.5},
 "members":[{"node":"n1","data_centre":"north","service":"a","state":"ready","limit":4,"slots":8,"sheet":7},
 {"node":"n2","data_centre":"south","service":"b","state":"none","sheet":6,"suspect":true,"leaving":true}],
@@ -222,14 +222,14 @@
 			http.NotFound(w, r)
 			return
 		}
-		fmt.Fprint(w, statusOf(node))
+		fmt.Fprint(w, statusJSON(node))
 	}))
 	t.Cleanup(s.Close)
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// Guards against numbers that are lost between the node and the operator, and
-// against a silent node that passes unnoticed.
+// Guards against fields of a node's status that the command drops, and against a
+// node without an answer that the command does not report.
 func TestStatus(t *testing.T) {
 	is := is.New(t)
 	n1, n2 := serveStatus(t, "n1"), serveStatus(t, "n2")
--- a/operator/command/settings/check/check.go
+++ b/operator/command/settings/check/check.go
@@ -30,12 +30,12 @@
 }
 
 type outputProblem struct {
-	File   string `json:"file"`
-	Line   int    `json:"line"`
-	Column int    `json:"column"`
-	Key    string `json:"key"`
-	Wrong  string `json:"wrong"`
-	Right  string `json:"right"`
+	File    string `json:"file"`
+	Line    int    `json:"line"`
+	Column  int    `json:"column"`
+	Key     string `json:"key"`
+	Message string `json:"wrong"`
+	Fix     string `json:"right"`
 }
 
 // New returns the command.
@@ -57,22 +57,22 @@
 
 // Run checks the settings.
 func Run(_ context.Context, o *Options) error {
-	_, problems, err := settingssource.Source{}.File(o.File)
+	_, problems, err := settingssource.Source{}.ReadFile(o.File)
 	if err != nil {
 		return err
 	}
 	if o.JSON {
-		err = json.NewEncoder(o.Env.Stdout).Encode(describe(o.File, problems))
+		err = json.NewEncoder(o.Env.Stdout).Encode(newOutput(o.File, problems))
 	} else {
 		err = printText(o, problems)
 	}
 	if err != nil {
 		return err
 	}
-	return settingssource.Summary(o.File, problems)
+	return settingssource.SummaryError(o.File, problems)
 }
 
-func describe(file string, problems []settingsloader.Problem) output {
+func newOutput(file string, problems []settingsloader.Problem) output {
 	out := output{Valid: len(problems) == 0, Problems: []outputProblem{}}
 	for _, p := range problems {
 		out.Problems = append(out.Problems, outputProblem{file, p.Line, p.Column, p.Key, p.Message, p.Fix})
--- a/operator/command/settings/show/show.go
+++ b/operator/command/settings/show/show.go
@@ -44,11 +44,11 @@
 
 // Run prints the settings.
 func Run(_ context.Context, o *Options) error {
-	s, problems, err := settingssource.Source{}.File(o.File)
+	s, problems, err := settingssource.Source{}.ReadFile(o.File)
 	if err != nil {
 		return err
 	}
-	if err := settingssource.Summary(o.File, problems); err != nil {
+	if err := settingssource.SummaryError(o.File, problems); err != nil {
 		return err
 	}
 	text := []byte(s.Describe())
--- a/operator/command/sheet/check/check.go
+++ b/operator/command/sheet/check/check.go
@@ -51,7 +51,7 @@
 
 // Run checks the sheet.
 func Run(_ context.Context, o *Options) error {
-	s, report, err := sheetsource.Source{}.File(o.File)
+	s, report, err := sheetsource.Source{}.ReadFile(o.File)
 	if err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	return sheetsource.Summary(o.File, report)
+	return sheetsource.SummaryError(o.File, report)
 }
 
 func printText(o *Options, rows int, r sheetparser.Report) error {
--- a/operator/command/sheet/history/history.go
+++ b/operator/command/sheet/history/history.go
@@ -22,8 +22,9 @@
 
 const (
 	defaultTimeout = 10 * time.Second
-	// shortDigest tells sheets apart on a terminal, in hexadecimal digits.
-	shortDigest = 12
+	// shortDigestLen is the number of hexadecimal digits of a digest that the table
+	// shows, enough to distinguish sheets.
+	shortDigestLen = 12
 )
 
 // Options are the inputs of the command.
@@ -75,7 +76,7 @@
 	defer cancel()
 	var lines []line
 	source := sheetsource.Source{Log: o.Env.OpenLog(cassiatally.Address(o.Log), o.Timeout)}
-	_, err := source.Each(ctx, func(e sheetreader.Entry) { lines = append(lines, describe(e)) })
+	_, err := source.EachRecord(ctx, func(e sheetreader.Entry) { lines = append(lines, describeEntry(e)) })
 	if err != nil {
 		return err
 	}
@@ -84,12 +85,12 @@
 	}
 	t := tabler.Table{Header: []string{"offset", "version", "based on", "state", "publisher", "digest", "expires"}}
 	for _, l := range lines {
-		t.Add(number(uint64(l.Offset)), number(uint64(l.Version)), number(uint64(l.BasedOn)), l.State, l.Publisher, l.Digest[:shortDigest], l.Expires)
+		t.Add(formatNumber(uint64(l.Offset)), formatNumber(uint64(l.Version)), formatNumber(uint64(l.BasedOn)), l.State, l.Publisher, l.Digest[:shortDigestLen], l.Expires)
 	}
 	return t.Print(o.Env.Stdout, o.Env.Terminal)
 }
 
-func number(n uint64) string { return strconv.FormatUint(n, 10) }
+func formatNumber(n uint64) string { return strconv.FormatUint(n, 10) }
 
 func printJSON(o *Options, lines []line) error {
 	encoder := json.NewEncoder(o.Env.Stdout)
@@ -101,7 +102,7 @@
 	return nil
 }
 
-func describe(e sheetreader.Entry) line {
+func describeEntry(e sheetreader.Entry) line {
 	state := "rejected"
 	switch {
 	case !e.Valid:
--- a/operator/command/sheet/publish/publish.go
+++ b/operator/command/sheet/publish/publish.go
@@ -26,10 +26,10 @@
 
 const (
 	defaultTimeout = 10 * time.Second
-	// requestsPerTimeout leaves time to read the log back after a request that got
-	// no answer.
+	// requestsPerTimeout divides the timeout into those of single requests, so that
+	// time is left to read the log back after a request without an answer.
 	requestsPerTimeout = 4
-	// noVersion stands for a flag that was not given; 0 is a valid version.
+	// noVersion means that the flag was not given; 0 is a valid version.
 	noVersion = -1
 )
 
@@ -45,11 +45,11 @@
 }
 
 type output struct {
-	Accepted bool                    `json:"accepted"`
-	Version  cassiatally.Version     `json:"version"`
-	Digest   string                  `json:"digest"`
-	By       string                  `json:"publisher"`
-	Changes  []sheetdiffer.ChangeRow `json:"changes,omitempty"`
+	Accepted  bool                    `json:"accepted"`
+	Version   cassiatally.Version     `json:"version"`
+	Digest    string                  `json:"digest"`
+	Publisher string                  `json:"publisher"`
+	Changes   []sheetdiffer.ChangeRow `json:"changes,omitempty"`
 }
 
 // New returns the command.
@@ -83,11 +83,11 @@
 	if err := validate(o); err != nil {
 		return err
 	}
-	s, report, err := sheetsource.Source{}.File(o.File)
+	s, report, err := sheetsource.Source{}.ReadFile(o.File)
 	if err != nil {
 		return err
 	}
-	if err := sheetsource.Summary(o.File, report); err != nil {
+	if err := sheetsource.SummaryError(o.File, report); err != nil {
 		return errors.Wrap(err, "nothing was published")
 	}
 	for _, w := range report.Warnings {
@@ -95,7 +95,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, o.Timeout)
 	defer cancel()
-	return send(ctx, o, s)
+	return publishSheet(ctx, o, s)
 }
 
 func validate(o *Options) error {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func send(ctx context.Context, o *Options, s sheet.Sheet) error {
+func publishSheet(ctx context.Context, o *Options, s sheet.Sheet) error {
 	codec, err := protocol.New()
 	if err != nil {
 		return err
@@ -125,15 +125,15 @@
 	result, err := p.Publish(ctx, cassiatally.Version(o.BasedOn), s)
 	var conflict *publisher.Conflict
 	if errors.As(err, &conflict) {
-		return showConflict(o, conflict, s)
+		return printConflict(o, conflict, s)
 	}
 	if err != nil {
 		return err
 	}
-	return showAccepted(o, result)
+	return printAccepted(o, result)
 }
 
-func showAccepted(o *Options, r publisher.Result) error {
+func printAccepted(o *Options, r publisher.Result) error {
 	if o.JSON {
 		return json.NewEncoder(o.Env.Stdout).Encode(output{true, r.Record.Version, r.Record.Digest.String(), r.Record.Publisher, nil})
 	}
@@ -145,8 +145,9 @@
 	return err
 }
 
-// showConflict prints what publishing the sheet would change in the one in force.
-func showConflict(o *Options, c *publisher.Conflict, s sheet.Sheet) error {
+// printConflict prints the changes that publishing the sheet would make to the one
+// in force.
+func printConflict(o *Options, c *publisher.Conflict, s sheet.Sheet) error {
 	var changes []sheetdiffer.Change
 	var d sheetdiffer.Differ
 	if c.Winner.Version > 0 {
--- a/operator/command/sheet/show/show.go
+++ b/operator/command/sheet/show/show.go
@@ -64,14 +64,14 @@
 
 // Run prints the sheet.
 func Run(ctx context.Context, o *Options) error {
-	v, err := version(o)
+	v, err := parseVersion(o)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, o.Timeout)
 	defer cancel()
 	source := sheetsource.Source{Log: o.Env.OpenLog(cassiatally.Address(o.Log), o.Timeout)}
-	record, err := source.Version(ctx, v)
+	record, err := source.ReadVersion(ctx, v)
 	if err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 	}
 	switch {
 	case o.JSON:
-		return json.NewEncoder(o.Env.Stdout).Encode(describe(record, s))
+		return json.NewEncoder(o.Env.Stdout).Encode(newOutput(record, s))
 	case !o.Env.Terminal:
 		_, err = o.Env.Stdout.Write(s.CSV())
 		return err
@@ -89,7 +89,7 @@
 	return printTable(o, s)
 }
 
-func version(o *Options) (cassiatally.Version, error) {
+func parseVersion(o *Options) (cassiatally.Version, error) {
 	if o.Log == "" {
 		return 0, cassiatally.NewError(cassiatally.KindUsage, "the address of the log service is missing; add --log ADDRESS")
 	}
@@ -103,7 +103,7 @@
 	return cassiatally.Version(v), nil
 }
 
-func describe(r cassiatally.SheetRecord, s sheet.Sheet) output {
+func newOutput(r cassiatally.SheetRecord, s sheet.Sheet) output {
 	out := output{r.Version, r.BasedOn, r.Publisher, r.Digest.String(), nil}
 	for _, row := range s.Rows {
 		fields := map[sheet.Column]string{}
--- a/operator/command/status/sections.go
+++ b/operator/command/status/sections.go
@@ -13,10 +13,11 @@
 	"github.com/cassiatally/cassiatally/operator/tabler"
 )
 
-// none stands for a field without a value, so that plain lines keep their fields.
-const none = "-"
+// noValue stands for an empty field, so that the number of fields in plain lines is
+// fixed.
+const noValue = "-"
 
-// section is one table. Plain lines begin with its name.
+// section is one table. Each plain line begins with the name of its section.
 type section struct {
 	name, title string
 	header      []string
@@ -26,7 +27,7 @@
 func (s *section) add(fields ...string) {
 	for i, f := range fields {
 		if f == "" {
-			fields[i] = none
+			fields[i] = noValue
 		}
 	}
 	s.rows = append(s.rows, fields)
@@ -43,12 +44,13 @@
 	return t.Print(env.Stdout, env.Terminal)
 }
 
-// sectionsOf returns the tables. With all, the nodes table has the asked nodes
-// only, as they see themselves; otherwise it has the fleet as the one sees it.
+// sectionsOf returns the tables. With all, the nodes table has one row for each
+// queried node, from its own status; otherwise it has all members that the one
+// node reports.
 func sectionsOf(answered []nodeclient.Status, all bool) []section {
 	return []section{
 		nodes(answered, all), services(answered[0]), backends(answered), sheds(answered),
-		waits(answered), requests(answered), shards(answered), links(answered),
+		queueWaits(answered), requests(answered), shards(answered), links(answered),
 	}
 }
 
@@ -62,7 +64,7 @@
 			if all && m.Node != answered[i].Node {
 				continue
 			}
-			s.add(m.Node, m.DataCentre, m.Service, m.State, count(m.Sheet), strconv.Itoa(m.InFlight), strconv.Itoa(m.Limit),
+			s.add(m.Node, m.DataCentre, m.Service, m.State, formatCount(m.Sheet), strconv.Itoa(m.InFlight), strconv.Itoa(m.Limit),
 				strconv.Itoa(m.Slots), strconv.Itoa(m.Queued), notes(m))
 		}
 	}
@@ -80,13 +82,13 @@
 	return strings.Join(out, ",")
 }
 
-func services(seen nodeclient.Status) section {
+func services(reporter nodeclient.Status) section {
 	s := section{
-		name: "service", title: "Services, as " + seen.Node + " sees them",
+		name: "service", title: "Services, as " + reporter.Node + " sees them",
 		header: []string{"service", "data centre", "endpoints", "capacity", "level by rank"},
 	}
-	for _, v := range seen.Services {
-		s.add(v.Service, v.DataCentre, strconv.Itoa(v.Endpoints), strconv.Itoa(v.Capacity), levels(v.Levels))
+	for _, v := range reporter.Services {
+		s.add(v.Service, v.DataCentre, strconv.Itoa(v.Endpoints), strconv.Itoa(v.Capacity), formatLevels(v.Levels))
 	}
 	return s
 }
@@ -99,13 +101,13 @@
 	for i := range answered {
 		l := answered[i].Local
 		s.add(answered[i].Node, l.Service, l.State, strconv.Itoa(l.InFlight), strconv.Itoa(l.Limit), strconv.Itoa(l.Slots),
-			strconv.Itoa(l.Queued), seconds(l.TypicalSeconds), count(l.LateResults), count(l.Crashes), strconv.Itoa(l.Suspects), strconv.Itoa(l.Quarantined), levels(l.Levels))
+			strconv.Itoa(l.Queued), formatSeconds(l.TypicalSeconds), formatCount(l.LateResults), formatCount(l.Crashes), strconv.Itoa(l.Suspects), strconv.Itoa(l.Quarantined), formatLevels(l.Levels))
 	}
 	return s
 }
 
-// sheds tells where and why work was refused: at the queue before the backend
-// server, or towards the callers of the node.
+// sheds lists where and why requests were refused: in the queue before the backend
+// server, or in answers to the callers of the node.
 func sheds(answered []nodeclient.Status) section {
 	s := section{
 		name: "shed", title: "Shed since the start of the node",
@@ -113,23 +115,23 @@
 	}
 	for i := range answered {
 		for _, v := range answered[i].Local.Sheds {
-			s.add(answered[i].Node, "backend", strconv.Itoa(v.Rank), v.Kind, count(v.Count))
+			s.add(answered[i].Node, "backend", strconv.Itoa(v.Rank), v.Kind, formatCount(v.Count))
 		}
 		for _, v := range answered[i].Requests.Refused {
-			s.add(answered[i].Node, "caller", strconv.Itoa(v.Rank), v.Kind, count(v.Count))
+			s.add(answered[i].Node, "caller", strconv.Itoa(v.Rank), v.Kind, formatCount(v.Count))
 		}
 	}
 	return s
 }
 
-func waits(answered []nodeclient.Status) section {
+func queueWaits(answered []nodeclient.Status) section {
 	s := section{
 		name: "queue", title: "Queue before the backend server",
 		header: []string{"node", "rank", "started", "mean wait"},
 	}
 	for i := range answered {
 		for _, q := range answered[i].Local.Queue {
-			s.add(answered[i].Node, strconv.Itoa(q.Rank), count(q.Started), seconds(q.WaitSeconds/float64(max(q.Started, 1))))
+			s.add(answered[i].Node, strconv.Itoa(q.Rank), formatCount(q.Started), formatSeconds(q.WaitSeconds/float64(max(q.Started, 1))))
 		}
 	}
 	return s
@@ -142,13 +144,14 @@
 	}
 	for i := range answered {
 		r := answered[i].Requests
-		s.add(answered[i].Node, strconv.Itoa(r.InFlight), count(r.RefusedAtEntry), count(r.Retries), count(r.RetriesDenied),
-			count(r.Redirects), count(r.LateAnswers), count(r.Incomplete), count(r.Queries))
+		s.add(answered[i].Node, strconv.Itoa(r.InFlight), formatCount(r.RefusedAtEntry), formatCount(r.Retries), formatCount(r.RetriesDenied),
+			formatCount(r.Redirects), formatCount(r.LateAnswers), formatCount(r.Incomplete), formatCount(r.Queries))
 	}
 	return s
 }
 
-// shards has each shard once for a data centre, from the first node that told it.
+// shards lists each shard of a data centre once, from the first node that reports
+// it.
 func shards(answered []nodeclient.Status) section {
 	s := section{
 		name: "shard", title: "Shards of idempotency keys",
@@ -163,7 +166,7 @@
 				continue
 			}
 			seen[id] = true
-			s.add(n.DataCentre, strconv.Itoa(v.Shard), count(v.Epoch), v.Holder, v.Standby, count(v.CompleteFrom))
+			s.add(n.DataCentre, strconv.Itoa(v.Shard), formatCount(v.Epoch), v.Holder, v.Standby, formatCount(v.CompleteFrom))
 		}
 	}
 	return s
@@ -176,31 +179,31 @@
 	}
 	for i := range answered {
 		n := answered[i]
-		s.add(n.Node, n.Control, count(n.Sheet.Version), yes(n.Sheet.FollowsLog), contact(n.Sheet), strconv.Itoa(n.Traffic.Links),
-			bytes(n.Traffic.ControlSent), bytes(n.Traffic.ControlReceived), bytes(n.Traffic.RequestSent), bytes(n.Traffic.RequestReceived), refused(n.Refused))
+		s.add(n.Node, n.Control, formatCount(n.Sheet.Version), yesOrNo(n.Sheet.FollowsLog), formatLogContact(n.Sheet), strconv.Itoa(n.Traffic.Links),
+			formatBytes(n.Traffic.ControlSent), formatBytes(n.Traffic.ControlReceived), formatBytes(n.Traffic.RequestSent), formatBytes(n.Traffic.RequestReceived), formatRefused(n.Refused))
 	}
 	return s
 }
 
-func contact(s nodeclient.Sheet) string {
+func formatLogContact(s nodeclient.Sheet) string {
 	if s.LogContactSeconds < 0 {
-		return none
+		return noValue
 	}
-	return seconds(s.LogContactSeconds) + " ago"
+	return formatSeconds(s.LogContactSeconds) + " ago"
 }
 
-// refused has the duties that refused messages, with their numbers.
-func refused(byDuty map[string]uint64) string {
+// formatRefused lists the duties that refused messages, with the counts.
+func formatRefused(byDuty map[string]uint64) string {
 	var out []string
 	for _, duty := range slices.Sorted(maps.Keys(byDuty)) {
 		if n := byDuty[duty]; n > 0 {
-			out = append(out, duty+":"+count(n))
+			out = append(out, duty+":"+formatCount(n))
 		}
 	}
 	return strings.Join(out, " ")
 }
 
-func levels(ls []float64) string {
+func formatLevels(ls []float64) string {
 	out := make([]string, 0, len(ls))
 	for _, l := range ls {
 		out = append(out, strconv.FormatFloat(l, 'f', 2, 64))
@@ -208,15 +211,15 @@
 	return strings.Join(out, " ")
 }
 
-func seconds(s float64) string {
+func formatSeconds(s float64) string {
 	return time.Duration(s * float64(time.Second)).Round(100 * time.Microsecond).String()
 }
 
-func count(n uint64) string { return strconv.FormatUint(n, 10) }
+func formatCount(n uint64) string { return strconv.FormatUint(n, 10) }
 
-func bytes(n uint64) string { return count(n) + " B" }
+func formatBytes(n uint64) string { return formatCount(n) + " B" }
 
-func yes(b bool) string {
+func yesOrNo(b bool) string {
 	if b {
 		return "yes"
 	}
--- a/operator/command/status/status.go
+++ b/operator/command/status/status.go
@@ -1,4 +1,4 @@
-// Package status shows the state of nodes and of the fleet as they see it.
+// Package status prints the state of nodes and of the fleet as they report it.
 //
 // # Usage
 //
@@ -30,7 +30,7 @@
 	JSON    bool
 }
 
-// view is the answer of one node, or why there is none.
+// view is the status of one node, or the error if it could not be read.
 type view struct {
 	Address cassiatally.Address `json:"address"`
 	Error   string              `json:"error,omitempty"`
@@ -62,7 +62,7 @@
 	}
 }
 
-// Run asks the nodes and prints what they say.
+// Run queries the nodes and prints their status.
 func Run(ctx context.Context, o *Options) error {
 	if len(o.Nodes) == 0 {
 		return cassiatally.NewError(cassiatally.KindUsage, "no node is named; add --node ADDRESS with listen.admin of a node")
@@ -70,20 +70,20 @@
 	if o.Timeout <= 0 {
 		return cassiatally.NewError(cassiatally.KindUsage, "the timeout must be above 0; try --timeout 5s")
 	}
-	views, failure := ask(ctx, o)
-	if err := show(o, views); err != nil {
+	views, failure := queryNodes(ctx, o)
+	if err := printViews(o, views); err != nil {
 		return err
 	}
 	return failure
 }
 
-// ask returns the views to show. The error names the nodes that did not answer
-// though they had to.
-func ask(ctx context.Context, o *Options) ([]view, error) {
+// queryNodes returns the views to print. The error names the nodes without an
+// answer, unless one answer was enough.
+func queryNodes(ctx context.Context, o *Options) ([]view, error) {
 	var views []view
 	var silent []string
 	for _, n := range o.Nodes {
-		v := askOne(ctx, o, cassiatally.Address(n))
+		v := queryNode(ctx, o, cassiatally.Address(n))
 		if v.Error != "" {
 			silent = append(silent, n+" ("+v.Error+")")
 		}
@@ -101,7 +101,7 @@
 		len(silent), len(o.Nodes), strings.Join(silent, ", "))
 }
 
-func askOne(ctx context.Context, o *Options, a cassiatally.Address) view {
+func queryNode(ctx context.Context, o *Options, a cassiatally.Address) view {
 	ctx, cancel := context.WithTimeout(ctx, o.Timeout)
 	defer cancel()
 	status, raw, err := nodeclient.Client{HTTP: o.Env.HTTP}.Status(ctx, a)
@@ -111,7 +111,7 @@
 	return view{Address: a, Raw: raw, status: status}
 }
 
-func show(o *Options, views []view) error {
+func printViews(o *Options, views []view) error {
 	if o.JSON {
 		if views == nil {
 			views = []view{}
--- a/operator/command/trace/trace.go
+++ b/operator/command/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace prints what the logs of nodes say about one request and the calls
-// that its runs made.
+// Package trace prints the log lines of nodes about one request and about the
+// calls that its runs made.
 //
 // # Usage
 //
@@ -25,8 +25,8 @@
 	"github.com/cassiatally/cassiatally/operator/tabler"
 )
 
-// maxLine bounds a log line, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds a log line.
+const maxLineBytes = 1 << 20
 
 // Options are the inputs of the command.
 type Options struct {
@@ -35,14 +35,14 @@
 	JSON    bool
 }
 
-// event is one line about the request.
+// event is one log line about the request.
 type event struct {
-	Time    string            `json:"time"`
-	Node    string            `json:"node"`
-	Request string            `json:"request"`
-	Event   string            `json:"event"`
-	Fields  map[string]string `json:"fields"`
-	names   []string
+	Time       string            `json:"time"`
+	Node       string            `json:"node"`
+	Request    string            `json:"request"`
+	Event      string            `json:"event"`
+	Fields     map[string]string `json:"fields"`
+	fieldNames []string
 }
 
 // New returns the command.
@@ -69,7 +69,7 @@
 	if o.Env.Stdin == nil {
 		return cassiatally.NewError(cassiatally.KindUsage, "no log lines are given; pass them on standard input")
 	}
-	events, err := read(o)
+	events, err := readEvents(o)
 	if err != nil {
 		return err
 	}
@@ -88,38 +88,38 @@
 	}
 	t := tabler.Table{Header: []string{"time", "node", "call", "event", "why"}}
 	for _, e := range events {
-		t.Add(e.Time, e.Node, callOf(o.Request, e.Request), e.Event, e.why())
+		t.Add(e.Time, e.Node, callLabel(o.Request, e.Request), e.Event, e.reason())
 	}
 	return t.Print(o.Env.Stdout, o.Env.Terminal)
 }
 
-func read(o *Options) ([]event, error) {
+func readEvents(o *Options) ([]event, error) {
 	var events []event
 	lines := bufio.NewScanner(o.Env.Stdin)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		if !bytes.Contains(lines.Bytes(), []byte(o.Request)) {
 			continue
 		}
-		if e := parse(lines.Bytes()); e.Request == o.Request || strings.HasPrefix(e.Request, o.Request+".") {
+		if e := parseLine(lines.Bytes()); e.Request == o.Request || strings.HasPrefix(e.Request, o.Request+".") {
 			events = append(events, e)
 		}
 	}
 	return events, errors.Wrap(lines.Err(), "read log lines")
 }
 
-func parse(line []byte) event {
+func parseLine(line []byte) event {
 	e := event{Fields: make(map[string]string)}
 	d := logfmt.NewDecoder(bytes.NewReader(line))
 	for d.ScanRecord() {
 		for d.ScanKeyval() {
-			e.set(string(d.Key()), string(d.Value()))
+			e.setField(string(d.Key()), string(d.Value()))
 		}
 	}
 	return e
 }
 
-func (e *event) set(name, value string) {
+func (e *event) setField(name, value string) {
 	switch name {
 	case "time":
 		e.Time = value
@@ -133,23 +133,23 @@
 	default:
 		if value != "" {
 			e.Fields[name] = value
-			e.names = append(e.names, name)
+			e.fieldNames = append(e.fieldNames, name)
 		}
 	}
 }
 
-// why returns the fields that decided, in the order of the line.
-func (e *event) why() string {
-	parts := make([]string, 0, len(e.names))
-	for _, n := range e.names {
+// reason returns the fields that explain the event, in the order of the line.
+func (e *event) reason() string {
+	parts := make([]string, 0, len(e.fieldNames))
+	for _, n := range e.fieldNames {
 		parts = append(parts, n+"="+e.Fields[n])
 	}
 	return strings.Join(parts, " ")
 }
 
-// callOf names a call by its place below the request: the last part of its id,
-// after a dot for each level.
-func callOf(request, id string) string {
+// callLabel identifies a call below the request by the last part of its id, after
+// one dot for each level.
+func callLabel(request, id string) string {
 	below := strings.TrimPrefix(id, request)
 	if below == "" {
 		return "-"
--- a/operator/command/trace/trace_test.go
+++ b/operator/command/trace/trace_test.go
@@ -26,7 +26,8 @@
 	return out.String(), err
 }
 
-// Guards against lines of other requests, and against a story out of order.
+// Guards against lines of other requests in the output, and against lines that are
+// not sorted by time.
 func TestTrace(t *testing.T) {
 	is := is.New(t)
 	out, err := run("r1", logs, false)
@@ -40,7 +41,8 @@
 	is.True(strings.Contains(out, `"event":"call refused"`))
 }
 
-// Guards against an empty answer that looks like "nothing went wrong".
+// Guards against an empty output without an error for a request that no line
+// names, which reads as if nothing went wrong.
 func TestUnknownRequest(t *testing.T) {
 	is := is.New(t)
 	_, err := run("r9", logs, false)
--- a/operator/environment/environment.go
+++ b/operator/environment/environment.go
@@ -1,6 +1,5 @@
-// Package environment holds what a command gets from its surroundings: streams,
-// a clock, the user's name, the log service and an HTTP client. Tests give their
-// own.
+// Package environment holds what a command uses from outside the program: streams,
+// a clock, the user's name, the log service and an HTTP client. Tests replace them.
 //
 // # Usage
 //
@@ -26,9 +25,9 @@
 	Terminal bool
 	// User is the name of the user who runs the command; empty when unknown.
 	User string
-	// OpenLog returns the log service at the address.
+	// OpenLog returns a client of the log service at the address.
 	OpenLog func(a cassiatally.Address, timeout time.Duration) cassiatally.Log
-	// HTTP sends requests to nodes. Its timeouts come from the commands.
+	// HTTP sends requests to nodes. It has no timeout; the commands set deadlines.
 	HTTP  *http.Client
 	Clock cassiatally.Clock
 }
--- a/operator/main.go
+++ b/operator/main.go
@@ -1,4 +1,4 @@
-// Command cassiatally is described in README.md.
+// Command cassiatally is the command-line tool of operators; README.md describes it.
 package main
 
 import (
--- a/operator/nodeclient/client.go
+++ b/operator/nodeclient/client.go
@@ -1,5 +1,5 @@
-// Package nodeclient speaks HTTP with nodes, as a caller and as an operator.
-// docs/http.md describes the requests and answers.
+// Package nodeclient is an HTTP client for nodes, for the requests of callers and
+// of operators. docs/http.md describes the requests and answers.
 //
 // # Usage
 //
@@ -9,8 +9,8 @@
 //	answer, err := c.Call(ctx, "127.0.0.1:7400", nodeclient.Request{Service: "avail-svc", Work: "check"})
 //	answer, err = c.Lookup(ctx, "127.0.0.1:7400", key)
 //
-// An error means that no whole answer came; what the node itself says is in the
-// Answer.
+// An error means that no complete answer arrived. Errors that the node reports are
+// in the Answer.
 package nodeclient
 
 import (
@@ -30,18 +30,18 @@
 	"github.com/cassiatally/cassiatally/cassiatally/headers"
 )
 
-// maxStatus bounds the status of a node, in bytes. A node that knows 300 members
-// sends about 70 KiB.
-const maxStatus = 16 << 20
+// maxStatusBytes bounds the status of a node. With 300 members, it has about
+// 70 KiB.
+const maxStatusBytes = 16 << 20
 
 // Client sends requests to nodes.
 type Client struct {
 	HTTP *http.Client
 }
 
-// NewHTTP returns a client that sends each request once. On a connection that it
-// uses again, net/http itself would repeat a request with an Idempotency-Key
-// under the same attempt number, which callers must not do.
+// NewHTTP returns a client that sends each request once. On a reused connection,
+// net/http itself would repeat a request with an Idempotency-Key under the same
+// attempt number, which callers must not do.
 func NewHTTP() *http.Client {
 	return &http.Client{
 		Transport:     &http.Transport{DisableKeepAlives: true},
@@ -56,16 +56,16 @@
 	Tenant  cassiatally.Tenant
 	Timeout time.Duration
 	Key     cassiatally.Key
-	// Attempt counts the sends of the key from 1; 0 leaves it out.
+	// Attempt counts the sends of the key from 1; with 0 its header is left out.
 	Attempt int
 	Body    []byte
 }
 
-// Answer is what a node answered to a request.
+// Answer is the answer of a node to a request.
 type Answer struct {
 	Outcome cassiatally.Outcome
 	Status  int
-	// Kind is empty when the backend server's own answer was passed on.
+	// Kind is empty when the answer is that of the backend server.
 	Kind        string
 	Detail      string
 	Request     string
@@ -83,15 +83,15 @@
 	Key cassiatally.Key `json:"key"`
 }
 
-// Status returns the status of the node with the address for operators, also as
-// the node sent it.
+// Status returns the status of the node at its address for operators, decoded and
+// as the node sent it.
 func (c Client) Status(ctx context.Context, admin cassiatally.Address) (Status, json.RawMessage, error) {
 	resp, err := c.send(ctx, http.MethodGet, admin, "/v1/status", nil, nil)
 	if err != nil {
 		return Status{}, nil, errors.Wrap(err, "check that this is listen.admin of a running node")
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxStatus))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxStatusBytes))
 	if err != nil {
 		return Status{}, nil, errors.Wrapf(err, "read the status of %s", admin)
 	}
@@ -146,7 +146,7 @@
 	if err != nil {
 		return Answer{}, err
 	}
-	return read(resp)
+	return readAnswer(resp)
 }
 
 // Lookup returns the outcome of a key.
@@ -155,7 +155,7 @@
 	if err != nil {
 		return Answer{}, err
 	}
-	return read(resp)
+	return readAnswer(resp)
 }
 
 func (c Client) send(ctx context.Context, method string, to cassiatally.Address, path string, h http.Header, body []byte) (*http.Response, error) {
@@ -173,9 +173,9 @@
 	return resp, nil
 }
 
-// read returns the answer in a response, or an Error of KindIncompleteAnswer when
-// the body is cut off or does not match its digest.
-func read(resp *http.Response) (Answer, error) {
+// readAnswer returns the answer in a response, or an Error of KindIncompleteAnswer
+// when the body is cut off or does not match its digest.
+func readAnswer(resp *http.Response) (Answer, error) {
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, cassiatally.MaxBody+1))
 	if err != nil {
@@ -185,7 +185,7 @@
 		return Answer{}, cassiatally.NewError(cassiatally.KindIncompleteAnswer, "the answer has the digest %s, its header says %q", got, want)
 	}
 	a := Answer{
-		Outcome:     outcomeOf(resp.Header.Get(headers.Outcome)),
+		Outcome:     parseOutcome(resp.Header.Get(headers.Outcome)),
 		Status:      resp.StatusCode,
 		Request:     resp.Header.Get(headers.Request),
 		ContentType: resp.Header.Get("Content-Type"),
@@ -202,7 +202,7 @@
 	return a, nil
 }
 
-func outcomeOf(text string) cassiatally.Outcome {
+func parseOutcome(text string) cassiatally.Outcome {
 	for _, o := range []cassiatally.Outcome{cassiatally.OutcomeRan, cassiatally.OutcomeNotRun} {
 		if o.String() == text {
 			return o
--- a/operator/nodeclient/status.go
+++ b/operator/nodeclient/status.go
@@ -1,7 +1,7 @@
 package nodeclient
 
-// Status is the state of a node as it tells operators; node/adminserver/status.go
-// says what the fields mean.
+// Status is the state of a node as it reports it to operators.
+// node/adminserver/status.go documents the fields.
 type Status struct {
 	Node       string    `json:"node"`
 	DataCentre string    `json:"data_centre"`
@@ -14,18 +14,18 @@
 	Shards     []Shard   `json:"shards"`
 	Requests   Requests  `json:"requests"`
 	Traffic    Traffic   `json:"traffic"`
-	// Refused counts the messages that found no room in the inbox of each duty.
+	// Refused counts, for each duty, the messages that its full inbox refused.
 	Refused map[string]uint64 `json:"refused_by_duty"`
 }
 
-// Sheet tells which sheet is in force.
+// Sheet identifies the sheet in force on the node.
 type Sheet struct {
 	Version           uint64  `json:"version"`
 	LogContactSeconds float64 `json:"log_contact_seconds"`
 	FollowsLog        bool    `json:"follows_log"`
 }
 
-// Member is a node that the asked node knows.
+// Member is a node in the membership list of the queried node.
 type Member struct {
 	Node       string `json:"node"`
 	DataCentre string `json:"data_centre"`
@@ -41,7 +41,7 @@
 	Leaving    bool   `json:"leaving"`
 }
 
-// Service adds up the endpoints of a service in a data centre.
+// Service has the totals over the endpoints of a service in a data centre.
 type Service struct {
 	Service    string    `json:"service"`
 	DataCentre string    `json:"data_centre"`
@@ -69,14 +69,14 @@
 	Quarantined    int       `json:"quarantined_requests"`
 }
 
-// Shed counts what was refused for one reason.
+// Shed counts the requests of a rank that were refused for one reason.
 type Shed struct {
 	Rank  int    `json:"rank"`
 	Kind  string `json:"kind"`
 	Count uint64 `json:"count"`
 }
 
-// Queue adds up the time in the queue of the calls of a rank.
+// Queue has the total time that the calls of a rank spent in the queue.
 type Queue struct {
 	Rank        int     `json:"rank"`
 	Started     uint64  `json:"started"`
@@ -92,7 +92,7 @@
 	CompleteFrom uint64 `json:"complete_from"`
 }
 
-// Requests counts what became of the calls that the node sent on.
+// Requests counts the results of the calls that the node forwarded.
 type Requests struct {
 	InFlight       int    `json:"in_flight"`
 	Refused        []Shed `json:"refused"`
--- a/operator/settingssource/source.go
+++ b/operator/settingssource/source.go
@@ -1,8 +1,8 @@
-// Package settingssource gets the settings of a node from a file.
+// Package settingssource reads the settings of a node from a file.
 //
 // # Usage
 //
-//	settings, problems, err := settingssource.Source{}.File("node.yaml")
+//	settings, problems, err := settingssource.Source{}.ReadFile("node.yaml")
 package settingssource
 
 import (
@@ -14,11 +14,12 @@
 	"github.com/cassiatally/cassiatally/cassiatally/settingsloader"
 )
 
-// Source gets settings.
+// Source reads settings.
 type Source struct{}
 
-// File reads the settings in a file with defaults filled in, and all problems.
-func (Source) File(name string) (settingsloader.Settings, []settingsloader.Problem, error) {
+// ReadFile returns the settings in a file with defaults filled in, and all
+// problems.
+func (Source) ReadFile(name string) (settingsloader.Settings, []settingsloader.Problem, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
 		return settingsloader.Settings{}, nil, errors.Wrap(err, "read the settings; check the name of the file")
@@ -27,9 +28,9 @@
 	return s, problems, nil
 }
 
-// Summary returns an Error of KindInvalidSettings in one line, or nil without
+// SummaryError returns an Error of KindInvalidSettings in one line, or nil without
 // problems.
-func Summary(name string, problems []settingsloader.Problem) error {
+func SummaryError(name string, problems []settingsloader.Problem) error {
 	if len(problems) == 0 {
 		return nil
 	}
--- a/operator/sheetsource/source.go
+++ b/operator/sheetsource/source.go
@@ -1,4 +1,4 @@
-// Package sheetsource gets a sheet from a file or, by its version, from the log.
+// Package sheetsource reads a sheet from a file or, by its version, from the log.
 //
 // # Usage
 //
@@ -22,31 +22,32 @@
 	"github.com/cassiatally/cassiatally/cassiatally/sheetreader"
 )
 
-// CanonicalFile is the name under which sheets of the log are parsed.
+// CanonicalFile is the file name in problems that the parser finds in sheets of
+// the log.
 const CanonicalFile = "sheet.csv"
 
-// Source gets sheets. Log is nil when no log service was named.
+// Source reads sheets. Log is nil when no log service was named.
 type Source struct{ Log cassiatally.Log }
 
 // Load returns the sheet of a file, or that of a version if the name is a number.
 func (s Source) Load(ctx context.Context, name string) (sheet.Sheet, error) {
 	v, err := strconv.ParseUint(name, 10, 64)
 	if err != nil {
-		loaded, report, err := s.File(name)
+		loaded, report, err := s.ReadFile(name)
 		if err != nil {
 			return sheet.Sheet{}, err
 		}
-		return loaded, Summary(name, report)
+		return loaded, SummaryError(name, report)
 	}
-	record, err := s.Version(ctx, cassiatally.Version(v))
+	record, err := s.ReadVersion(ctx, cassiatally.Version(v))
 	if err != nil {
 		return sheet.Sheet{}, err
 	}
 	return Decode(record)
 }
 
-// File reads and parses a file. Faults of the sheet are in the report.
-func (s Source) File(name string) (sheet.Sheet, sheetparser.Report, error) {
+// ReadFile reads and parses a file. Problems of the sheet are in the report.
+func (s Source) ReadFile(name string) (sheet.Sheet, sheetparser.Report, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return sheet.Sheet{}, sheetparser.Report{}, errors.Wrap(err, "read the sheet; check the name of the file")
@@ -61,9 +62,9 @@
 	return loaded, report, nil
 }
 
-// Summary returns an Error of KindInvalidSheet in one line, or nil for a report
-// without errors.
-func Summary(name string, r sheetparser.Report) error {
+// SummaryError returns an Error of KindInvalidSheet in one line, or nil for a
+// report without errors.
+func SummaryError(name string, r sheetparser.Report) error {
 	if len(r.Errors) == 0 {
 		return nil
 	}
@@ -71,10 +72,11 @@
 		name, len(r.Errors)+r.More, r.Errors[0], name)
 }
 
-// Version returns the accepted record of a version. Version 0 is the one in force.
-func (s Source) Version(ctx context.Context, v cassiatally.Version) (cassiatally.SheetRecord, error) {
+// ReadVersion returns the accepted record of a version. Version 0 stands for the
+// one in force.
+func (s Source) ReadVersion(ctx context.Context, v cassiatally.Version) (cassiatally.SheetRecord, error) {
 	var found cassiatally.SheetRecord
-	current, err := s.Each(ctx, func(e sheetreader.Entry) {
+	current, err := s.EachRecord(ctx, func(e sheetreader.Entry) {
 		if e.Accepted && e.Record.Version == v {
 			found = e.Record
 		}
@@ -92,9 +94,10 @@
 	return found, nil
 }
 
-// Each passes on all records of the log and returns the one in force. Its
-// version is 0 when there is none, or when the log no longer tells it.
-func (s Source) Each(ctx context.Context, each func(sheetreader.Entry)) (cassiatally.SheetRecord, error) {
+// EachRecord calls each for all records of the log and returns the record in force.
+// Its version is 0 when there is none, or when the records that are left in the log
+// do not determine it.
+func (s Source) EachRecord(ctx context.Context, each func(sheetreader.Entry)) (cassiatally.SheetRecord, error) {
 	if s.Log == nil {
 		return cassiatally.SheetRecord{}, cassiatally.NewError(cassiatally.KindUsage, "a version needs the log service; add --log ADDRESS")
 	}
@@ -117,5 +120,5 @@
 func Decode(r cassiatally.SheetRecord) (sheet.Sheet, error) {
 	var p sheetparser.Parser
 	s, report := p.Parse(CanonicalFile, r.Sheet)
-	return s, errors.Wrapf(Summary(CanonicalFile, report), "version %d in the log", r.Version)
+	return s, errors.Wrapf(SummaryError(CanonicalFile, report), "version %d in the log", r.Version)
 }
--- a/operator/tabler/table.go
+++ b/operator/tabler/table.go
@@ -17,7 +17,7 @@
 
 const columnGap = 2
 
-// Table is a list of rows with a header. Plain lines have no header.
+// Table is a list of rows with a header, which is printed on a terminal only.
 type Table struct {
 	Header []string
 	rows   [][]string
