--- a/scenarios/counter_test.go
+++ b/scenarios/counter_test.go
@@ -8,7 +8,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cmdCounter adds up a counter in the status of nodes:
+// cmdCounter sets a variable to the sum of a counter over the status of nodes:
 //
 //	counter VARIABLE SECTION.NAME ADMIN-ADDRESS...
 func cmdCounter(ts *testscript.TestScript, neg bool, args []string) {
@@ -20,13 +20,13 @@
 	ts.Setenv(args[0], strconv.FormatUint(n, 10))
 }
 
-// cmdGrowth fails when a counter has grown by more than a limit since a counter
-// command:
+// cmdMaxGrowth fails when a counter has grown by more than a limit since a counter
+// command set the variable:
 //
-//	growth VARIABLE LIMIT SECTION.NAME ADMIN-ADDRESS...
-func cmdGrowth(ts *testscript.TestScript, neg bool, args []string) {
+//	maxgrowth VARIABLE LIMIT SECTION.NAME ADMIN-ADDRESS...
+func cmdMaxGrowth(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 4 {
-		ts.Fatalf("usage: growth VARIABLE LIMIT SECTION.NAME ADMIN-ADDRESS...")
+		ts.Fatalf("usage: maxgrowth VARIABLE LIMIT SECTION.NAME ADMIN-ADDRESS...")
 	}
 	before, err := strconv.ParseUint(ts.Getenv(args[0]), 10, 64)
 	ts.Check(err)
--- a/scenarios/doc.go
+++ b/scenarios/doc.go
@@ -1,5 +1,5 @@
-// Package scenarios holds the scripted scenarios, which run real processes on
-// loopback behind the fault proxy.
+// Package scenarios has the scripted end-to-end tests. They run the real programs
+// as processes on loopback, with the fault proxy between them.
 //
 // # Usage
 //
--- a/scenarios/fleet_test.go
+++ b/scenarios/fleet_test.go
@@ -20,26 +20,26 @@
 )
 
 const (
-	// startLimit and conditionLimit are generous, so that a busy machine does not
-	// change the verdict.
-	startLimit     = 30 * time.Second
-	conditionLimit = 60 * time.Second
-	pollPause      = 50 * time.Millisecond
+	// startTimeout and conditionTimeout are long, so that a scenario does not fail
+	// because the machine is busy.
+	startTimeout     = 30 * time.Second
+	conditionTimeout = 60 * time.Second
+	pollInterval     = 50 * time.Millisecond
 )
 
 type fleetKey struct{}
 
 // fleet holds the processes of one script.
 type fleet struct {
-	env       *testscript.Env
-	processes map[string]*process
-	versions  *versionWatch
-	keepers   map[string]*keeper
-	// links has the address of each node that was started, by name.
-	links map[string]string
-	// sendings has the requests that a script does not wait for yet.
-	sendings    map[string]chan sent
-	insistences map[string]*insistence
+	env         *testscript.Env
+	processes   map[string]*process
+	versions    *versionWatch
+	supervisors map[string]*supervisor
+	// linkAddresses has the address for links of each node that was started, by name.
+	linkAddresses map[string]string
+	// pending has the requests that were sent in the background, by name.
+	pending   map[string]chan response
+	repeaters map[string]*repeater
 }
 
 type process struct {
@@ -50,9 +50,9 @@
 func newFleet(env *testscript.Env) *fleet {
 	return &fleet{
 		env: env, processes: make(map[string]*process),
-		versions: newVersionWatch(), keepers: make(map[string]*keeper),
-		links: make(map[string]string), sendings: make(map[string]chan sent),
-		insistences: make(map[string]*insistence),
+		versions: newVersionWatch(), supervisors: make(map[string]*supervisor),
+		linkAddresses: make(map[string]string), pending: make(map[string]chan response),
+		repeaters: make(map[string]*repeater),
 	}
 }
 
@@ -60,8 +60,8 @@
 
 func (f *fleet) killAll() {
 	f.versions.close()
-	for _, k := range f.keepers {
-		k.close()
+	for _, s := range f.supervisors {
+		s.close()
 	}
 	for _, p := range f.processes {
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
@@ -102,27 +102,28 @@
 	p := &process{cmd: cmd, exited: make(chan struct{})}
 	f.processes[name] = p
 	line := make(chan string, 1)
-	go watch(p, stdout, logFile, line)
+	go copyOutput(p, stdout, logFile, line)
 	select {
 	case l := <-line:
-		return publish(ts, name, l)
+		return setVariables(ts, name, l)
 	case <-p.exited:
-		// A program may print its line and end at once.
+		// A program may end right after it printed its line.
 		select {
 		case l := <-line:
-			return publish(ts, name, l)
+			return setVariables(ts, name, l)
 		default:
 		}
-		said, _ := os.ReadFile(logFile.Name())
-		ts.Fatalf("%s ended before it listened:\n%s", name, said)
-	case <-time.After(startLimit):
-		ts.Fatalf("%s did not listen within %v; see %s.log", name, startLimit, name)
+		output, _ := os.ReadFile(logFile.Name())
+		ts.Fatalf("%s ended before it listened:\n%s", name, output)
+	case <-time.After(startTimeout):
+		ts.Fatalf("%s did not listen within %v; see %s.log", name, startTimeout, name)
 	}
 	return nil
 }
 
-// watch copies the output, reports the listening line, and waits for the end.
-func watch(p *process, stdout io.Reader, logFile *os.File, line chan<- string) {
+// copyOutput copies the output of a process to its log, passes the listening line
+// on, and waits for the process to end.
+func copyOutput(p *process, stdout io.Reader, logFile *os.File, line chan<- string) {
 	var once sync.Once
 	lines := bufio.NewScanner(stdout)
 	for lines.Scan() {
@@ -136,7 +137,7 @@
 	close(p.exited)
 }
 
-func publish(ts *testscript.TestScript, name, line string) map[string]string {
+func setVariables(ts *testscript.TestScript, name, line string) map[string]string {
 	values := make(map[string]string)
 	for _, field := range strings.Fields(line)[1:] {
 		key, value, ok := strings.Cut(field, "=")
@@ -153,10 +154,11 @@
 //	node NAME DATA_CENTRE [YAML-LINE...]
 //
 // Further lines are added to the settings. The variable LOG has the address of
-// the log service. The nodes that were started before are the seeds; with a
-// variable NAME_advertise the node tells others that address. With a variable
-// FAULTS, the address of a fault proxy, links to the node go through its route NAME,
-// which passes frames on instead of TCP with a variable FRAMES.
+// the log service. The nodes that were started before are the seeds. The variable
+// NAME_listen fixes the address for links, and NAME_advertise the one that the node
+// announces to others. If the variable FAULTS has the address of a fault proxy,
+// links to the node go through the proxy's route NAME, which forwards frames if the
+// variable FRAMES is set, and TCP otherwise.
 func cmdNode(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: node NAME DATA_CENTRE [YAML-LINE...]")
@@ -186,22 +188,22 @@
 	}
 	file := ts.MkAbs(name + ".yaml")
 	ts.Check(os.WriteFile(file, []byte(b.String()), 0o600))
-	at := f.start(ts, name, "cassiatally-node", []string{"--settings", file})
+	addresses := f.start(ts, name, "cassiatally-node", []string{"--settings", file})
 	if faults != "" {
-		changeRoute(ts, faults, name, at["links"])
+		changeRoute(ts, faults, name, addresses["links"])
 	}
-	f.links[name] = at["links"]
+	f.linkAddresses[name] = addresses["links"]
 	if addr := ts.Getenv(name + "_advertise"); addr != "" {
-		f.links[name] = addr
+		f.linkAddresses[name] = addr
 	}
 }
 
 // seedsOf returns the quoted addresses of the other nodes in a fixed order.
 func (f *fleet) seedsOf(name string) []string {
 	var seeds []string
-	for _, other := range slices.Sorted(maps.Keys(f.links)) {
+	for _, other := range slices.Sorted(maps.Keys(f.linkAddresses)) {
 		if other != name {
-			seeds = append(seeds, strconv.Quote(f.links[other]))
+			seeds = append(seeds, strconv.Quote(f.linkAddresses[other]))
 		}
 	}
 	return seeds
@@ -216,14 +218,14 @@
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: signal NAME KILL|STOP|CONT|TERM")
 	}
-	p := fleetOf(ts).running(ts, args[0])
+	p := fleetOf(ts).startedProcess(ts, args[0])
 	ts.Check(p.cmd.Process.Signal(signals[args[1]]))
 	if args[1] == "KILL" {
 		<-p.exited
 	}
 }
 
-func (f *fleet) running(ts *testscript.TestScript, name string) *process {
+func (f *fleet) startedProcess(ts *testscript.TestScript, name string) *process {
 	p, ok := f.processes[name]
 	if !ok {
 		ts.Fatalf("%s was not started", name)
@@ -231,31 +233,32 @@
 	return p
 }
 
-// cmdHalt ends processes in order with SIGTERM and waits for each: halt NAME...
+// cmdHalt sends SIGTERM to processes, one after the other, and waits for the end of
+// each: halt NAME...
 func cmdHalt(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) == 0 {
 		ts.Fatalf("usage: halt NAME...")
 	}
 	for _, name := range args {
-		p := fleetOf(ts).running(ts, name)
+		p := fleetOf(ts).startedProcess(ts, name)
 		_ = p.cmd.Process.Signal(syscall.SIGTERM)
 		waitExit(ts, name, p)
 	}
 }
 
-// cmdEnded waits until a process has ended by itself: ended NAME.
+// cmdEnded waits until a process has ended: ended NAME.
 func cmdEnded(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 1 {
 		ts.Fatalf("usage: ended NAME")
 	}
-	waitExit(ts, args[0], fleetOf(ts).running(ts, args[0]))
+	waitExit(ts, args[0], fleetOf(ts).startedProcess(ts, args[0]))
 }
 
 func waitExit(ts *testscript.TestScript, name string, p *process) {
 	select {
 	case <-p.exited:
-	case <-time.After(conditionLimit):
-		ts.Fatalf("%s did not end within %v", name, conditionLimit)
+	case <-time.After(conditionTimeout):
+		ts.Fatalf("%s did not end within %v", name, conditionTimeout)
 	}
 }
 
@@ -268,10 +271,10 @@
 	if len(args) < 2 {
 		ts.Fatalf("usage: [!] until PATTERN PROGRAM ARGS...")
 	}
-	pattern := compile(ts, args[0])
+	pattern := compilePattern(ts, args[0])
 	var last []byte
-	for deadline := time.Now().Add(conditionLimit); time.Now().Before(deadline); time.Sleep(pollPause) {
-		cmd := exec.Command(resolve(args[1]), args[2:]...)
+	for deadline := time.Now().Add(conditionTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
+		cmd := exec.Command(programPath(args[1]), args[2:]...)
 		cmd.Dir = ts.MkAbs(".")
 		out, err := cmd.Output()
 		last = out
@@ -279,7 +282,7 @@
 			return
 		}
 	}
-	ts.Fatalf("%s did not come true within %v; last output:\n%s", strings.Join(args, " "), conditionLimit, last)
+	ts.Fatalf("until %s was not met within %v; last output:\n%s", strings.Join(args, " "), conditionTimeout, last)
 }
 
 // cmdStatus waits until the status of a node matches:
@@ -289,16 +292,16 @@
 	if len(args) != 2 {
 		ts.Fatalf("usage: [!] status ADMIN-ADDRESS PATTERN")
 	}
-	pattern := compile(ts, args[1])
+	pattern := compilePattern(ts, args[1])
 	last := ""
-	for deadline := time.Now().Add(conditionLimit); time.Now().Before(deadline); time.Sleep(pollPause) {
+	for deadline := time.Now().Add(conditionTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		body, err := fetch("http://" + args[0] + "/v1/status")
 		last = string(body)
 		if err == nil && pattern.Match(body) != neg {
 			return
 		}
 	}
-	ts.Fatalf("status %s did not come true within %v; last status:\n%s", args[1], conditionLimit, last)
+	ts.Fatalf("status %s was not met within %v; last status:\n%s", args[1], conditionTimeout, last)
 }
 
 // cmdMint mints a key and puts it into a variable: mint VARIABLE CALLERS-ADDRESS.
@@ -307,9 +310,9 @@
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: mint VARIABLE CALLERS-ADDRESS")
 	}
-	pattern := compile(ts, `"key":"([^"]+)"`)
+	pattern := compilePattern(ts, `"key":"([^"]+)"`)
 	last := ""
-	for deadline := time.Now().Add(conditionLimit); time.Now().Before(deadline); time.Sleep(pollPause) {
+	for deadline := time.Now().Add(conditionTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		resp, err := http.Post("http://"+args[1]+"/v1/keys", "", nil)
 		if err != nil {
 			continue
@@ -322,11 +325,11 @@
 			return
 		}
 	}
-	ts.Fatalf("no key was minted within %v; last answer:\n%s", conditionLimit, last)
+	ts.Fatalf("no key was minted within %v; last answer:\n%s", conditionTimeout, last)
 }
 
 func fetch(url string) ([]byte, error) {
-	client := http.Client{Timeout: startLimit}
+	client := http.Client{Timeout: startTimeout}
 	resp, err := client.Get(url)
 	if err != nil {
 		return nil, err
@@ -335,7 +338,7 @@
 	return io.ReadAll(resp.Body)
 }
 
-func resolve(program string) string {
+func programPath(program string) string {
 	own := filepath.Join(binaries, program)
 	if _, err := os.Stat(own); err == nil {
 		return own
--- a/scenarios/measurement_test.go
+++ b/scenarios/measurement_test.go
@@ -13,25 +13,25 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// evidenceCommands read counts from recorders, load tables and nodes, and
-// compare them.
-func evidenceCommands() map[string]func(ts *testscript.TestScript, neg bool, args []string) {
+// measurementCommands returns the commands that read counts from recorders, load
+// tables and nodes, and check them.
+func measurementCommands() map[string]func(ts *testscript.TestScript, neg bool, args []string) {
 	return map[string]func(ts *testscript.TestScript, neg bool, args []string){
-		"runs":       cmdRuns,
-		"table":      cmdTable,
-		"field":      cmdField,
-		"assert":     cmdAssert,
-		"note":       cmdNote,
-		"watch":      cmdWatch,
-		"watched":    cmdWatched,
-		"keep":       cmdKeep,
-		"fetched":    cmdFetched,
-		"insist":     cmdInsist,
-		"leaving":    cmdLeaving,
-		"fresh":      cmdFresh,
-		"publishers": cmdPublishers,
-		"losers":     cmdLosers,
-		"pause":      cmdPause,
+		"runs":          cmdRuns,
+		"table":         cmdTable,
+		"field":         cmdField,
+		"assert":        cmdAssert,
+		"note":          cmdNote,
+		"watchversions": cmdWatchVersions,
+		"checkversions": cmdCheckVersions,
+		"supervise":     cmdSupervise,
+		"fetched":       cmdFetched,
+		"repeat":        cmdRepeat,
+		"leaving":       cmdLeaving,
+		"newfleet":      cmdNewFleet,
+		"publishers":    cmdPublishers,
+		"inforce":       cmdInForce,
+		"pause":         cmdPause,
 	}
 }
 
@@ -60,29 +60,29 @@
 		Runs []recordedRun `json:"runs"`
 	}
 	ts.Check(json.Unmarshal(body, &list))
-	ids := ""
+	idPrefix := ""
 	if len(args) == 4 {
-		ids = args[3]
+		idPrefix = args[3]
 	}
 	counts := map[string]int{"total": 0, "finished": 0, "failed": 0, "aborted": 0, "started": 0}
-	roots, byID := map[string]int{}, map[string]int{}
+	byRoot, byID := map[string]int{}, map[string]int{}
 	for _, r := range list.Runs {
-		if args[2] != "*" && r.Service != args[2] || !strings.HasPrefix(r.ID, ids) {
+		if args[2] != "*" && r.Service != args[2] || !strings.HasPrefix(r.ID, idPrefix) {
 			continue
 		}
 		counts["total"]++
 		counts[r.State]++
-		roots[r.Root]++
+		byRoot[r.Root]++
 		byID[r.ID]++
 	}
-	counts["roots"], counts["max_per_root"], counts["max_per_id"] = len(roots), largest(roots), largest(byID)
+	counts["roots"], counts["max_per_root"], counts["max_per_id"] = len(byRoot), maxCount(byRoot), maxCount(byID)
 	for name, n := range counts {
 		ts.Setenv(args[0]+"_"+name, strconv.Itoa(n))
 	}
 	ts.Logf("%s: %v", args[0], counts)
 }
 
-func largest(counts map[string]int) int {
+func maxCount(counts map[string]int) int {
 	most := 0
 	for _, n := range counts {
 		most = max(most, n)
@@ -111,7 +111,7 @@
 	}
 }
 
-// cmdField sets a variable to what the first group of a pattern matches in the
+// cmdField sets a variable to the match of the first group of a pattern in the
 // answer of a URL: field VARIABLE URL PATTERN.
 func cmdField(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 3 {
@@ -119,14 +119,14 @@
 	}
 	body, err := fetch(args[1])
 	ts.Check(err)
-	m := compile(ts, args[2]).FindSubmatch(body)
+	m := compilePattern(ts, args[2]).FindSubmatch(body)
 	if len(m) < 2 {
 		ts.Fatalf("%s does not match the answer of %s:\n%s", args[2], args[1], body)
 	}
 	ts.Setenv(args[0], string(m[1]))
 }
 
-// cmdAssert fails unless a constant expression of Go is true: assert $a <= 2*$b.
+// cmdAssert fails unless a constant Go expression is true: assert $a <= 2*$b.
 func cmdAssert(ts *testscript.TestScript, neg bool, args []string) {
 	text := strings.Join(args, " ")
 	value, err := types.Eval(token.NewFileSet(), nil, token.NoPos, text)
@@ -134,7 +134,7 @@
 		ts.Fatalf("assert %s: %v", text, err)
 	}
 	if value.Value == nil || value.Value.Kind() != constant.Bool {
-		ts.Fatalf("assert %s: the expression has no truth value", text)
+		ts.Fatalf("assert %s: the expression is not boolean", text)
 	}
 	if constant.BoolVal(value.Value) == neg {
 		ts.Fatalf("assert: %s does not hold", text)
@@ -146,8 +146,8 @@
 	ts.Logf("%s", strings.Join(args, " "))
 }
 
-// cmdPause waits between two events whose distance a scenario needs, such as the
-// length of an outage. It stands for no condition: pause DURATION.
+// cmdPause waits for a time that is part of a scenario, such as the length of an
+// outage: pause DURATION. To wait for a condition, use another command.
 func cmdPause(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 1 {
 		ts.Fatalf("usage: pause DURATION")
@@ -162,21 +162,21 @@
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: fetched URL PATTERN")
 	}
-	pattern := compile(ts, args[1])
+	pattern := compilePattern(ts, args[1])
 	var last []byte
-	for deadline := time.Now().Add(conditionLimit); time.Now().Before(deadline); time.Sleep(pollPause) {
+	for deadline := time.Now().Add(conditionTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		body, err := fetch(args[0])
 		if last = body; err == nil && pattern.Match(body) {
 			return
 		}
 	}
-	ts.Fatalf("%s did not come true within %v; last answer:\n%s", args[1], conditionLimit, last)
+	ts.Fatalf("%s was not met within %v; last answer:\n%s", args[1], conditionTimeout, last)
 }
 
-// cmdFresh makes the next node the first of a fleet without older nodes: fresh.
-func cmdFresh(ts *testscript.TestScript, neg bool, args []string) {
+// cmdNewFleet starts a new fleet: the next node has no seeds: newfleet.
+func cmdNewFleet(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 0 {
-		ts.Fatalf("usage: fresh")
+		ts.Fatalf("usage: newfleet")
 	}
-	clear(fleetOf(ts).links)
+	clear(fleetOf(ts).linkAddresses)
 }
--- a/scenarios/pattern_test.go
+++ b/scenarios/pattern_test.go
@@ -6,7 +6,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-func compile(ts *testscript.TestScript, pattern string) *regexp.Regexp {
+func compilePattern(ts *testscript.TestScript, pattern string) *regexp.Regexp {
 	re, err := regexp.Compile("(?m)" + pattern)
 	ts.Check(err)
 	return re
--- a/scenarios/publishers_test.go
+++ b/scenarios/publishers_test.go
@@ -12,20 +12,20 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// publication is one `cassiatally sheet publish`.
+// publication is one run of `cassiatally sheet publish`.
 type publication struct {
 	file           string
 	stdout, stderr bytes.Buffer
 	err            error
 }
 
-// cmdPublishers publishes sheets at the same time on the same base:
+// cmdPublishers publishes sheets concurrently, based on the same version:
 //
 //	publishers LOG BASED-ON FILE...
 //
-// It sets published_won and published_lost to the numbers of those that were
-// accepted and of those that were told of a conflict, and published_winner to
-// the file of the last accepted one.
+// It sets published_won to the number of accepted sheets, published_lost to the
+// number of those refused with a version conflict, and published_winner to the file
+// of the last accepted one.
 func cmdPublishers(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 3 {
 		ts.Fatalf("usage: publishers LOG BASED-ON FILE...")
@@ -57,11 +57,11 @@
 	ts.Setenv("published_lost", strconv.Itoa(lost))
 }
 
-// cmdLosers checks that nodes know the kind of work of the winning sheet and of
-// no other; the sheet X.csv has the kind only_X: losers WINNER CALLERS-ADDRESS...
-func cmdLosers(ts *testscript.TestScript, neg bool, args []string) {
+// cmdInForce checks that nodes accept the kind of work of the winning sheet and of
+// no other; the sheet X.csv has the kind only_X: inforce WINNER CALLERS-ADDRESS...
+func cmdInForce(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
-		ts.Fatalf("usage: losers WINNER CALLERS-ADDRESS...")
+		ts.Fatalf("usage: inforce WINNER CALLERS-ADDRESS...")
 	}
 	for _, address := range args[1:] {
 		for _, file := range []string{"a.csv", "b.csv", "c.csv", "d.csv"} {
--- a/scenarios/ran_test.go
+++ b/scenarios/ran_test.go
@@ -7,7 +7,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cmdRan fails unless backend servers began a request the given number of times:
+// cmdRan fails unless backend servers started a request exactly COUNT times:
 //
 //	ran RECORDER-ADDRESS ID COUNT
 func cmdRan(ts *testscript.TestScript, neg bool, args []string) {
--- a/scenarios/repeat_test.go
+++ b/scenarios/repeat_test.go
@@ -11,8 +11,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// insistence is a caller that sends one request again and again.
-type insistence struct {
+// repeater is a caller that sends one request repeatedly.
+type repeater struct {
 	urls   []string
 	body   string
 	count  int
@@ -21,54 +21,54 @@
 	counts map[string]int
 }
 
-// cmdInsist sends the same body again and again in the background, to each URL
-// in turn:
+// cmdRepeat sends the same body repeatedly in the background, to each URL in turn:
 //
-//	insist NAME COUNT PAUSE BODY URL...
-//	insist NAME
+//	repeat NAME COUNT PAUSE BODY URL...
+//	repeat NAME
 //
-// The second form waits for the end. It sets NAME_KIND for each error kind that
-// was answered, NAME_ran for requests that were run, and NAME_sent.
-func cmdInsist(ts *testscript.TestScript, neg bool, args []string) {
+// The second form waits for the last answer. It sets NAME_KIND to the number of
+// answers with each error kind, NAME_ran to that of requests that were run,
+// NAME_lost to that of requests without a usable answer, and NAME_sent.
+func cmdRepeat(ts *testscript.TestScript, neg bool, args []string) {
 	f := fleetOf(ts)
 	switch {
 	case neg || len(args) == 0:
-		ts.Fatalf("usage: insist NAME [COUNT PAUSE BODY URL...]")
+		ts.Fatalf("usage: repeat NAME [COUNT PAUSE BODY URL...]")
 	case len(args) == 1:
-		i := f.insistences[args[0]]
-		<-i.done
-		for kind, n := range i.counts {
+		r := f.repeaters[args[0]]
+		<-r.done
+		for kind, n := range r.counts {
 			ts.Setenv(args[0]+"_"+kind, strconv.Itoa(n))
 		}
-		ts.Logf("%s: %v", args[0], i.counts)
+		ts.Logf("%s: %v", args[0], r.counts)
 	default:
 		count, err := strconv.Atoi(args[1])
 		ts.Check(err)
 		pause, err := time.ParseDuration(args[2])
 		ts.Check(err)
-		i := &insistence{
+		r := &repeater{
 			urls: args[4:], body: args[3], count: count, pause: pause, done: make(chan struct{}),
 			counts: map[string]int{
 				"sent": 0, "ran": 0, "quarantined": 0, "overloaded": 0, "outcome_unknown": 0, "lost": 0,
 			},
 		}
-		f.insistences[args[0]] = i
-		go i.run()
+		f.repeaters[args[0]] = r
+		go r.run()
 	}
 }
 
-func (i *insistence) run() {
-	defer close(i.done)
-	for n := range i.count {
-		i.counts["sent"]++
-		i.counts[insistOnce(i.urls[n%len(i.urls)], i.body)]++
-		time.Sleep(i.pause)
+func (r *repeater) run() {
+	defer close(r.done)
+	for n := range r.count {
+		r.counts["sent"]++
+		r.counts[sendOnce(r.urls[n%len(r.urls)], r.body)]++
+		time.Sleep(r.pause)
 	}
 }
 
-// insistOnce returns the error kind of the answer, or "ran".
-func insistOnce(url, body string) string {
-	client := http.Client{Timeout: conditionLimit}
+// sendOnce returns the error kind of the answer, "ran" or "lost".
+func sendOnce(url, body string) string {
+	client := http.Client{Timeout: conditionTimeout}
 	resp, err := client.Post(url, "application/json", strings.NewReader(body))
 	if err != nil {
 		return "lost"
--- a/scenarios/route_test.go
+++ b/scenarios/route_test.go
@@ -8,7 +8,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// unusedTarget is the target of a route until the node behind it has its port.
+// unusedTarget is the target of a route until the port of the node behind it is
+// known. Connections to it are refused.
 const unusedTarget = "127.0.0.1:1"
 
 type routeBody struct {
@@ -26,8 +27,8 @@
 	putRoute(ts, http.MethodPut, routesURL(ts, faults)+"/"+name, routeBody{Target: target})
 }
 
-// routesURL returns where routes are added: those that pass frames on with a
-// variable FRAMES, those that pass TCP on without it.
+// routesURL returns the URL at which routes are added: routes that forward frames
+// if the variable FRAMES is set, and routes that forward TCP otherwise.
 func routesURL(ts *testscript.TestScript, faults string) string {
 	if ts.Getenv("FRAMES") != "" {
 		return "http://" + faults + "/v1/links"
@@ -57,7 +58,7 @@
 //
 //	route VARIABLE NAME [TARGET]
 //
-// Without a target, connections are refused until the route is given one.
+// Without a target, connections are refused until the script sets one.
 func cmdRoute(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
 		ts.Fatalf("usage: route VARIABLE NAME [TARGET]")
--- a/scenarios/scenarios_test.go
+++ b/scenarios/scenarios_test.go
@@ -12,7 +12,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// binaries is where TestMain builds the programs.
+// binaries is the directory into which TestMain builds the programs.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -23,7 +23,7 @@
 	}
 	binaries = dir
 	code := 1
-	if err := build(dir); err != nil {
+	if err := buildPrograms(dir); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 	} else {
 		code = m.Run()
@@ -32,7 +32,7 @@
 	os.Exit(code)
 }
 
-func build(dir string) error {
+func buildPrograms(dir string) error {
 	programs := map[string]string{"cassiatally-node": "node", "cassiatally": "operator", "cassiatally-standin": "standin"}
 	for program, module := range programs {
 		args := []string{"build", "-o", filepath.Join(dir, program)}
@@ -61,21 +61,21 @@
 		"status": cmdStatus,
 		"mint":   cmdMint,
 
-		"sending":  cmdSending,
-		"answered": cmdAnswered,
-		"await":    cmdAwait,
-		"shard":    cmdShard,
-		"ran":      cmdRan,
-		"route":    cmdRoute,
-		"counter":  cmdCounter,
-		"growth":   cmdGrowth,
+		"sending":   cmdSending,
+		"answered":  cmdAnswered,
+		"await":     cmdAwait,
+		"shard":     cmdShard,
+		"ran":       cmdRan,
+		"route":     cmdRoute,
+		"counter":   cmdCounter,
+		"maxgrowth": cmdMaxGrowth,
 	}
-	maps.Copy(cmds, evidenceCommands())
+	maps.Copy(cmds, measurementCommands())
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(env *testscript.Env) error {
 			env.Setenv("PATH", binaries+string(os.PathListSeparator)+env.Getenv("PATH"))
-			env.Setenv("EXAMPLES", examples())
+			env.Setenv("EXAMPLES", examplesDir())
 			setMechanisms(env)
 			f := newFleet(env)
 			env.Values[fleetKey{}] = f
@@ -88,7 +88,7 @@
 
 // setMechanisms sets the variables CONTROL, PER_ROOT and DRAIN, with which scripts
 // configure their nodes. SCENARIO_CONTROL=off, SCENARIO_PER_ROOT=16 and
-// SCENARIO_DRAIN=1ms switch the mechanisms off, to see that a scenario fails
+// SCENARIO_DRAIN=1ms switch the mechanisms off, to prove that a scenario fails
 // without them.
 func setMechanisms(env *testscript.Env) {
 	env.Setenv("CONTROL", cmp.Or(os.Getenv("SCENARIO_CONTROL"), "adaptive"))
@@ -96,7 +96,7 @@
 	env.Setenv("DRAIN", cmp.Or(os.Getenv("SCENARIO_DRAIN"), "30s"))
 }
 
-func examples() string {
+func examplesDir() string {
 	dir, err := filepath.Abs("../examples")
 	if err != nil {
 		panic(err)
--- a/scenarios/send_test.go
+++ b/scenarios/send_test.go
@@ -11,8 +11,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// sent is the end of a request of a script.
-type sent struct {
+// response is the response to a request of a script, or the error without one.
+type response struct {
 	status string
 	header http.Header
 	body   []byte
@@ -23,15 +23,15 @@
 //
 //	[!] send METHOD URL [NAME:VALUE...] [@FILE|=BODY]
 //
-// It fails when no answer comes; with ! when one does.
+// It fails when there is no answer; with !, when there is one.
 func cmdSend(ts *testscript.TestScript, neg bool, args []string) {
 	if len(args) < 2 {
 		ts.Fatalf("usage: send METHOD URL [NAME:VALUE...] [@FILE|=BODY]")
 	}
-	report(ts, neg, args, do(buildRequest(ts, args)))
+	printResponse(ts, neg, args, sendRequest(buildRequest(ts, args)))
 }
 
-// cmdSending sends an HTTP request and goes on without its answer:
+// cmdSending sends an HTTP request in the background:
 //
 //	sending NAME METHOD URL [NAME:VALUE...] [@FILE|=BODY]
 func cmdSending(ts *testscript.TestScript, neg bool, args []string) {
@@ -39,9 +39,9 @@
 		ts.Fatalf("usage: sending NAME METHOD URL [NAME:VALUE...] [@FILE|=BODY]")
 	}
 	req := buildRequest(ts, args[1:])
-	answer := make(chan sent, 1)
-	fleetOf(ts).sendings[args[0]] = answer
-	go func() { answer <- do(req) }()
+	answer := make(chan response, 1)
+	fleetOf(ts).pending[args[0]] = answer
+	go func() { answer <- sendRequest(req) }()
 }
 
 // cmdAnswered waits for the answer to a request and prints it: [!] answered NAME.
@@ -49,11 +49,11 @@
 	if len(args) != 1 {
 		ts.Fatalf("usage: [!] answered NAME")
 	}
-	answer, ok := fleetOf(ts).sendings[args[0]]
+	answer, ok := fleetOf(ts).pending[args[0]]
 	if !ok {
 		ts.Fatalf("%s was not sent", args[0])
 	}
-	report(ts, neg, args, <-answer)
+	printResponse(ts, neg, args, <-answer)
 }
 
 func buildRequest(ts *testscript.TestScript, args []string) *http.Request {
@@ -72,7 +72,7 @@
 	}
 	req, err := http.NewRequest(args[0], args[1], bytes.NewReader(body))
 	ts.Check(err)
-	// Without GetBody, net/http does not send a request with a key again by itself.
+	// Without GetBody, net/http does not retry a request with a key by itself.
 	req.GetBody = nil
 	req.Header = header
 	if len(body) > 0 && header.Get("Content-Type") == "" {
@@ -81,18 +81,18 @@
 	return req
 }
 
-func do(req *http.Request) sent {
-	client := http.Client{Timeout: conditionLimit, Transport: &http.Transport{DisableKeepAlives: true}}
+func sendRequest(req *http.Request) response {
+	client := http.Client{Timeout: conditionTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(req)
 	if err != nil {
-		return sent{err: err}
+		return response{err: err}
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
-	return sent{status: resp.Status, header: resp.Header, body: data, err: err}
+	return response{status: resp.Status, header: resp.Header, body: data, err: err}
 }
 
-func report(ts *testscript.TestScript, neg bool, args []string, s sent) {
+func printResponse(ts *testscript.TestScript, neg bool, args []string, s response) {
 	switch {
 	case s.err != nil && !neg:
 		ts.Fatalf("%s: %v", strings.Join(args, " "), s.err)
@@ -112,14 +112,14 @@
 	if len(args) != 2 {
 		ts.Fatalf("usage: [!] await URL PATTERN")
 	}
-	pattern := compile(ts, args[1])
+	pattern := compilePattern(ts, args[1])
 	last := ""
-	for deadline := time.Now().Add(conditionLimit); time.Now().Before(deadline); time.Sleep(pollPause) {
+	for deadline := time.Now().Add(conditionTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		body, err := fetch(args[0])
 		last = string(body)
 		if err == nil && pattern.Match(body) != neg {
 			return
 		}
 	}
-	ts.Fatalf("%s of %s did not come true within %v; last body:\n%s", args[1], args[0], conditionLimit, last)
+	ts.Fatalf("%s of %s was not met within %v; last body:\n%s", args[1], args[0], conditionTimeout, last)
 }
--- a/scenarios/shard_test.go
+++ b/scenarios/shard_test.go
@@ -18,7 +18,7 @@
 	CompleteFrom uint64 `json:"complete_from"`
 }
 
-// cmdShard waits until a node knows holder and standby of a shard:
+// cmdShard waits until the status of a node has holder and standby of a shard:
 //
 //	shard PREFIX ADMIN-ADDRESS SHARD [CONDITION...]
 //
@@ -32,14 +32,14 @@
 	}
 	number, err := strconv.Atoi(args[2])
 	ts.Check(err)
-	for deadline := time.Now().Add(conditionLimit); time.Now().Before(deadline); time.Sleep(pollPause) {
+	for deadline := time.Now().Add(conditionTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		s, ok := readShard(args[1], number)
 		if ok && s.meets(ts, args[3:]) {
-			s.publish(ts, args[0])
+			s.setVariables(ts, args[0])
 			return
 		}
 	}
-	ts.Fatalf("shard %s did not reach %s within %v", args[2], strings.Join(args[3:], " "), conditionLimit)
+	ts.Fatalf("shard %s did not reach %s within %v", args[2], strings.Join(args[3:], " "), conditionTimeout)
 }
 
 func readShard(admin string, number int) (shardEntry, bool) {
@@ -84,7 +84,7 @@
 	return true
 }
 
-func (s shardEntry) publish(ts *testscript.TestScript, prefix string) {
+func (s shardEntry) setVariables(ts *testscript.TestScript, prefix string) {
 	ts.Setenv(prefix+"_epoch", strconv.FormatUint(s.Epoch, 10))
 	ts.Setenv(prefix+"_complete_from", strconv.FormatUint(s.CompleteFrom, 10))
 	for role, ref := range map[string]string{"holder": s.Holder, "standby": s.Standby} {
@@ -96,7 +96,7 @@
 	}
 }
 
-// nodeOf returns the node of a reference NODE/INCARNATION.
+// nodeOf returns the node in a reference NODE/INCARNATION.
 func nodeOf(ref string) string {
 	name, _, _ := strings.Cut(ref, "/")
 	return name
--- a/scenarios/supervise_test.go
+++ b/scenarios/supervise_test.go
@@ -10,12 +10,11 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// restartPause keeps a program that ends at once from being started in a tight
-// loop.
-const restartPause = 200 * time.Millisecond
+// restartDelay prevents a tight loop when a program ends as soon as it starts.
+const restartDelay = 200 * time.Millisecond
 
-// keeper starts a program again each time that it ends.
-type keeper struct {
+// supervisor restarts a program each time that it ends.
+type supervisor struct {
 	stop chan struct{}
 	done chan struct{}
 
@@ -23,31 +22,31 @@
 	ended int
 }
 
-// cmdKeep runs a program and starts it again each time that it ends:
+// cmdSupervise runs a program and restarts it each time that it ends:
 //
-//	keep NAME PROGRAM ARGS...
-//	keep NAME
+//	supervise NAME PROGRAM ARGS...
+//	supervise NAME
 //
-// The second form sets NAME_ended to the number of ends so far.
-func cmdKeep(ts *testscript.TestScript, neg bool, args []string) {
+// The second form sets NAME_ended to how often the program has ended so far.
+func cmdSupervise(ts *testscript.TestScript, neg bool, args []string) {
 	f := fleetOf(ts)
 	switch {
 	case neg || len(args) == 0:
-		ts.Fatalf("usage: keep NAME [PROGRAM ARGS...]")
+		ts.Fatalf("usage: supervise NAME [PROGRAM ARGS...]")
 	case len(args) == 1:
-		k := f.keepers[args[0]]
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		ts.Setenv(args[0]+"_ended", strconv.Itoa(k.ended))
+		s := f.supervisors[args[0]]
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		ts.Setenv(args[0]+"_ended", strconv.Itoa(s.ended))
 	default:
-		k := &keeper{stop: make(chan struct{}), done: make(chan struct{})}
-		f.keepers[args[0]] = k
-		go k.run(filepath.Join(binaries, args[1]), args[2:])
+		s := &supervisor{stop: make(chan struct{}), done: make(chan struct{})}
+		f.supervisors[args[0]] = s
+		go s.run(filepath.Join(binaries, args[1]), args[2:])
 	}
 }
 
-func (k *keeper) run(program string, args []string) {
-	defer close(k.done)
+func (s *supervisor) run(program string, args []string) {
+	defer close(s.done)
 	for {
 		cmd := exec.Command(program, args...)
 		if err := cmd.Start(); err != nil {
@@ -59,24 +58,24 @@
 			close(exited)
 		}()
 		select {
-		case <-k.stop:
+		case <-s.stop:
 			_ = cmd.Process.Kill()
 			<-exited
 			return
 		case <-exited:
 		}
-		k.mu.Lock()
-		k.ended++
-		k.mu.Unlock()
+		s.mu.Lock()
+		s.ended++
+		s.mu.Unlock()
 		select {
-		case <-k.stop:
+		case <-s.stop:
 			return
-		case <-time.After(restartPause):
+		case <-time.After(restartDelay):
 		}
 	}
 }
 
-func (k *keeper) close() {
-	close(k.stop)
-	<-k.done
+func (s *supervisor) close() {
+	close(s.stop)
+	<-s.done
 }
--- a/scenarios/switch_test.go
+++ b/scenarios/switch_test.go
@@ -15,8 +15,8 @@
 // Guards against a normal build in which a mechanism can be switched off.
 func TestNormalBuildHasNoSwitches(t *testing.T) {
 	if os.Getenv(switchVariable) != "" {
-		// A run that proves a scenario by its failure builds with the tag; there is
-		// no normal build to look at. CI never sets the variable.
+		// The programs are built with the tag, to prove that a scenario fails without
+		// a mechanism, so there is no normal build to check. CI never sets the variable.
 		t.Skip("the programs are built with the switches")
 	}
 	for _, program := range []string{"cassiatally-node", "cassiatally", "cassiatally-standin"} {
--- a/scenarios/watch_test.go
+++ b/scenarios/watch_test.go
@@ -14,36 +14,36 @@
 	done sync.WaitGroup
 
 	mu        sync.Mutex
-	seen      map[string][]uint64
+	versions  map[string][]uint64
 	reversals []string
 	polls     int
 }
 
-// cmdWatch polls the sheet version of nodes in the background and remembers each
-// change. More nodes can be added later: watch ADMIN-ADDRESS...
-func cmdWatch(ts *testscript.TestScript, neg bool, args []string) {
+// cmdWatchVersions polls the sheet version of nodes in the background and records
+// each change. More nodes can be added later: watchversions ADMIN-ADDRESS...
+func cmdWatchVersions(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) == 0 {
-		ts.Fatalf("usage: watch ADMIN-ADDRESS...")
+		ts.Fatalf("usage: watchversions ADMIN-ADDRESS...")
 	}
 	w := fleetOf(ts).versions
 	for _, address := range args {
-		w.done.Go(func() { w.follow(address) })
+		w.done.Go(func() { w.poll(address) })
 	}
 }
 
 func newVersionWatch() *versionWatch {
-	return &versionWatch{stop: make(chan struct{}), seen: make(map[string][]uint64)}
+	return &versionWatch{stop: make(chan struct{}), versions: make(map[string][]uint64)}
 }
 
-func (w *versionWatch) follow(address string) {
+func (w *versionWatch) poll(address string) {
 	for {
 		if version, ok := sheetVersion(address); ok {
-			w.note(address, version)
+			w.record(address, version)
 		}
 		select {
 		case <-w.stop:
 			return
-		case <-time.After(pollPause):
+		case <-time.After(pollInterval):
 		}
 	}
 }
@@ -61,18 +61,18 @@
 	return status.Sheet.Version, json.Unmarshal(body, &status) == nil
 }
 
-func (w *versionWatch) note(address string, version uint64) {
+func (w *versionWatch) record(address string, version uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.polls++
-	list := w.seen[address]
+	list := w.versions[address]
 	if len(list) > 0 && list[len(list)-1] == version {
 		return
 	}
 	if len(list) > 0 && version < list[len(list)-1] {
 		w.reversals = append(w.reversals, address)
 	}
-	w.seen[address] = append(list, version)
+	w.versions[address] = append(list, version)
 }
 
 func (w *versionWatch) close() {
@@ -84,14 +84,15 @@
 	w.done.Wait()
 }
 
-// cmdWatched ends the polling and fails when the version of a node went back.
-func cmdWatched(ts *testscript.TestScript, neg bool, args []string) {
+// cmdCheckVersions ends the polling and fails when the version of a node went back:
+// checkversions.
+func cmdCheckVersions(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 0 {
-		ts.Fatalf("usage: watched")
+		ts.Fatalf("usage: checkversions")
 	}
 	w := fleetOf(ts).versions
 	w.close()
-	ts.Logf("versions in the order seen, %d polls: %v", w.polls, w.seen)
+	ts.Logf("versions in the order seen, %d polls: %v", w.polls, w.versions)
 	if len(w.reversals) > 0 {
 		ts.Fatalf("the version went back on %v", w.reversals)
 	}
