--- a/bench/capacitymeter/capacitymeter.go
+++ b/bench/capacitymeter/capacitymeter.go
@@ -38,16 +38,16 @@
 // Row is what a node costs in a fleet of a size: means over all nodes, and the
 // most of any node.
 type Row struct {
-	Nodes     int
-	Processor float64
-	Memory    processmeter.Bytes
-	Sent      float64
-	Received  float64
-	MostSent  float64
+	Nodes                  int
+	Cores                  float64
+	MaxResident            processmeter.Bytes
+	SentBytesPerSecond     float64
+	ReceivedBytesPerSecond float64
+	MaxSentBytesPerSecond  float64
 	// Appends counts the records appended to the log since the fleet started.
 	Appends int
 	// Joined is the time until each node knew all others.
-	Joined time.Duration
+	JoinTime time.Duration
 }
 
 // Meter starts fleets of nodes, each with an announced endpoint, and reads them
@@ -97,7 +97,7 @@
 	if err := m.waitJoined(ctx, nodes); err != nil {
 		return Row{}, err
 	}
-	row := Row{Nodes: size, Joined: time.Since(began)}
+	row := Row{Nodes: size, JoinTime: time.Since(began)}
 	m.wait(ctx, m.Length)
 	if err := m.read(ctx, nodes, &row); err != nil {
 		return Row{}, err
@@ -235,11 +235,11 @@
 	for i := range nodes {
 		seconds := after[i].usage.At.Sub(before[i].usage.At).Seconds()
 		sent := float64(after[i].sent-before[i].sent) / seconds
-		row.Processor += after[i].usage.Share(before[i].usage) / count
-		row.Memory = max(row.Memory, after[i].usage.Resident)
-		row.Sent += sent / count
-		row.Received += float64(after[i].received-before[i].received) / seconds / count
-		row.MostSent = max(row.MostSent, sent)
+		row.Cores += after[i].usage.CoresSince(before[i].usage) / count
+		row.MaxResident = max(row.MaxResident, after[i].usage.Resident)
+		row.SentBytesPerSecond += sent / count
+		row.ReceivedBytesPerSecond += float64(after[i].received-before[i].received) / seconds / count
+		row.MaxSentBytesPerSecond = max(row.MaxSentBytesPerSecond, sent)
 	}
 	return nil
 }
--- a/bench/command/capacitycommand/capacitycommand.go
+++ b/bench/command/capacitycommand/capacitycommand.go
@@ -73,7 +73,7 @@
 		return errors.Wrap(err, "making a folder for logs")
 	}
 	defer os.RemoveAll(folder)
-	l := &launcher.Launcher{Logs: folder, Environment: launcher.SmallHost()}
+	l := &launcher.Launcher{Logs: folder, Environment: launcher.SmallHostEnvironment()}
 	l.Run()
 	defer l.Close()
 	m := &capacitymeter.Meter{Launcher: l, Bin: filepath.Join(o.Root, "bin"), Folder: folder, Length: o.Length, DataCentres: o.DataCentres}
@@ -85,7 +85,7 @@
 			return err
 		}
 		fmt.Fprintf(w, "%d\t%.2f%%\t%.1f MiB\t%.0f B/s\t%.0f B/s\t%.0f B/s\t%d\t%v\t%s\n",
-			row.Nodes, 100*row.Processor, float64(row.Memory)/mebi, row.Sent, row.Received, row.MostSent, row.Appends, row.Joined.Round(time.Millisecond), loadAverage())
+			row.Nodes, 100*row.Cores, float64(row.MaxResident)/mebi, row.SentBytesPerSecond, row.ReceivedBytesPerSecond, row.MaxSentBytesPerSecond, row.Appends, row.JoinTime.Round(time.Millisecond), loadAverage())
 	}
 	return w.Flush()
 }
--- a/bench/command/democommand/democommand.go
+++ b/bench/command/democommand/democommand.go
@@ -91,7 +91,7 @@
 	} else {
 		defer os.RemoveAll(folder)
 	}
-	l := &launcher.Launcher{Logs: folder, Environment: launcher.SmallHost()}
+	l := &launcher.Launcher{Logs: folder, Environment: launcher.SmallHostEnvironment()}
 	l.Run()
 	defer l.Close()
 	d := &demo{Options: o, logger: o.Env.Logger()}
@@ -109,7 +109,7 @@
 	bin := filepath.Join(d.Root, "bin")
 	d.logger.Info("start", "data_centres", len(dep.DataCentres), "services", len(dep.Services), "nodes", len(dep.DataCentres)*len(dep.Services))
 	starter := &deployer.Deployer{
-		Deployment: dep, Launcher: l, Bin: bin, Control: deployer.ControlAdaptive, Folder: folder, Recorded: true, Seed: d.Seed,
+		Deployment: dep, Launcher: l, Bin: bin, Control: deployer.ControlAdaptive, Folder: folder, WithRecorder: true, Seed: d.Seed,
 	}
 	if d.fleet, err = starter.Deploy(ctx); err != nil {
 		return err
@@ -140,10 +140,10 @@
 func (d *demo) show(ctx context.Context) error {
 	dep := d.fleet.Deployment
 	phases := []loadplan.Phase{
-		{Name: "start", Duration: startTime, Rates: dep.Mixed(starting)},
-		{Name: "calm", Duration: calmTime, Rates: dep.Mixed(calm)},
-		{Name: "overload", Duration: overloadTime, Rates: dep.Mixed(overload)},
-		{Name: "after", Duration: calmTime, Rates: dep.Mixed(calm)},
+		{Name: "start", Duration: startTime, Rates: dep.MixedRates(starting)},
+		{Name: "calm", Duration: calmTime, Rates: dep.MixedRates(calm)},
+		{Name: "overload", Duration: overloadTime, Rates: dep.MixedRates(overload)},
+		{Name: "after", Duration: calmTime, Rates: dep.MixedRates(calm)},
 	}
 	t := &trial.Trial{Fleet: d.fleet, Name: "demo", Seed: d.Seed, Progress: d.logger}
 	results := t.Run(ctx, phases)
@@ -159,7 +159,7 @@
 	table := ranktable.New(d.book)
 	table.Add(results.Reports())
 	table.AddRuns(runs)
-	narrow := dep.NarrowService()
+	narrow := dep.BottleneckService()
 	fmt.Fprintf(
 		d.Env.Stdout, "\nLoad as a part of the capacity of %s (%d slots, %v a request, %.0f requests/s): start %.1f, calm %.1f, overload %.1f, after %.1f.\n\n",
 		narrow.Name, len(dep.DataCentres)*int(narrow.Slots), narrow.ServiceTime, float64(dep.Capacity()), starting, calm, float64(overload), calm,
@@ -176,7 +176,7 @@
 func (d *demo) runs(ctx context.Context) ([]core.Run, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	client := &recorder.Client{URL: d.fleet.Recorder, HTTP: http.DefaultClient}
+	client := &recorder.Client{URL: d.fleet.RecorderURL, HTTP: http.DefaultClient}
 	return client.Runs(ctx)
 }
 
--- a/bench/command/runcommand/report.go
+++ b/bench/command/runcommand/report.go
@@ -96,7 +96,7 @@
 
 func (r *report) text(w io.Writer, card *scorecard.Card) error {
 	o, dep := r.options, r.experimenter.Deployment
-	narrow := dep.NarrowService()
+	narrow := dep.BottleneckService()
 	fmt.Fprintf(w, "command:  %s\n", o.commandLine())
 	fmt.Fprintf(w, "commit:   %s\n", r.commit)
 	fmt.Fprintf(w, "time:     %s, %v\n", r.started.UTC().Format(time.RFC3339), time.Since(r.started).Round(time.Second))
@@ -124,7 +124,7 @@
 func (r *report) notes() string {
 	var b strings.Builder
 	for _, s := range r.experimenter.Scenarios {
-		if from, to := s.Offset(scenario.PhaseAfter); to > from {
+		if from, to := s.PhaseSpan(scenario.PhaseAfter); to > from {
 			fmt.Fprintf(&b, "A time back of %v after the scenario %s means that there was no return while it was observed.\n", (to - from).Seconds(), s.Name)
 		}
 	}
@@ -133,7 +133,7 @@
 
 func (r *report) links() string {
 	dep := r.experimenter.Deployment
-	if r.experimenter.Shared {
+	if r.experimenter.SharedFleet {
 		return fmt.Sprintf("no delay between nodes (quick), %v one way to callers", dep.CallerLatency)
 	}
 	return fmt.Sprintf("%v one way between nodes (none in the scenario cost), %v one way to callers", dep.LinkLatency, dep.CallerLatency)
@@ -142,13 +142,13 @@
 // load prints the load average at the beginning of each scenario and mode, and
 // warns of what weakens the figures.
 func (r *report) load(w io.Writer) {
-	least, most := machine.Load(-1), machine.Load(0)
+	least, most := machine.LoadAverage(-1), machine.LoadAverage(0)
 	unsent := 0
 	for _, o := range r.observations {
-		if least < 0 || o.Load < least {
-			least = o.Load
+		if least < 0 || o.LoadAverage < least {
+			least = o.LoadAverage
 		}
-		most = max(most, o.Load)
+		most = max(most, o.LoadAverage)
 		unsent += o.Unsent
 	}
 	cores := machine.Machine{}.Cores()
--- a/bench/command/runcommand/runcommand.go
+++ b/bench/command/runcommand/runcommand.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, nil, usage(err)
 	}
-	dep = dep.FullyNarrow(o.callerLimit())
+	dep = dep.AllThroughBottleneck(o.callerLimit())
 	book, err := sheetbook.Open(filepath.Join(o.Root, dep.Sheet), dep.DataCentres[0], time.Now())
 	if err != nil {
 		return nil, nil, err
@@ -117,7 +117,7 @@
 	}
 	e := &experimenter.Experimenter{
 		Deployment: dep, Modes: modes, Scenarios: scenarios, Root: o.Root, Seed: o.Seed,
-		Length: o.phase(), Shared: o.Quick, Logger: o.Env.Logger(),
+		Length: o.phase(), SharedFleet: o.Quick, Logger: o.Env.Logger(),
 	}
 	return e, book, nil
 }
@@ -140,7 +140,7 @@
 }
 
 func (o *Options) modes() ([]experimenter.Mode, error) {
-	known := []deployer.Control{deployer.ControlOff, deployer.ControlFixed, deployer.ControlAdaptive}
+	known := []deployer.ControlMode{deployer.ControlOff, deployer.ControlFixed, deployer.ControlAdaptive}
 	var modes []experimenter.Mode
 	for _, c := range known {
 		if len(o.Controls) == 0 || slices.Contains(o.Controls, string(c)) {
@@ -148,7 +148,7 @@
 		}
 	}
 	for _, c := range o.Controls {
-		if !slices.Contains(known, deployer.Control(c)) {
+		if !slices.Contains(known, deployer.ControlMode(c)) {
 			return nil, cassiatally.NewError(cassiatally.KindUsage, "%q is no control mode; there are %v", c, known)
 		}
 	}
--- a/bench/costmeter/costmeter.go
+++ b/bench/costmeter/costmeter.go
@@ -73,7 +73,7 @@
 	if c.Rest, err = m.use(ctx, func() { wait(ctx, m.Length) }); err != nil {
 		return nil, err
 	}
-	if c.Sheet, err = m.Publisher.Publish(ctx, m.Sheet, firstSheet); err != nil {
+	if c.SheetPropagation, err = m.Publisher.Publish(ctx, m.Sheet, firstSheet); err != nil {
 		return nil, err
 	}
 	m.load(ctx, "warm", eachLoad, false)
@@ -114,7 +114,7 @@
 func (m *Meter) load(ctx context.Context, phase loadplan.PhaseName, load float64, direct bool) []collector.Result {
 	d := m.Fleet.Deployment
 	class := loadplan.Class{
-		Name: "deep", Service: d.Narrow, Kind: d.Deep, Tenants: []cassiatally.Tenant{"bench"},
+		Name: "deep", Service: d.Bottleneck, Kind: d.DeepestKind, Tenants: []cassiatally.Tenant{"bench"},
 		Timeout: directTimeout, Target: directTimeout, Resend: loadplan.Resend{Policy: loadplan.ResendNone},
 	}
 	plan := loadplan.Plan{
@@ -140,12 +140,12 @@
 func (m *Meter) targets(direct bool) []string {
 	var urls []string
 	for _, e := range m.Fleet.Endpoints {
-		narrow := e.Service.Name == m.Fleet.Deployment.Narrow
+		narrow := e.Service.Name == m.Fleet.Deployment.Bottleneck
 		if direct && narrow {
 			urls = append(urls, "http://"+e.Backend.Listening["address"])
 		}
 		if !direct && !narrow {
-			urls = append(urls, e.Callers)
+			urls = append(urls, e.CallerURL)
 		}
 	}
 	return urls
@@ -166,9 +166,9 @@
 	for i, a := range after {
 		b := before[i]
 		seconds := a.usage.At.Sub(b.usage.At).Seconds()
-		most.Processor = max(most.Processor, a.usage.Share(b.usage))
-		most.Resident = max(most.Resident, float64(a.usage.Resident))
-		most.Control = max(most.Control, float64(a.control-b.control)/seconds)
+		most.Cores = max(most.Cores, a.usage.CoresSince(b.usage))
+		most.ResidentBytes = max(most.ResidentBytes, float64(a.usage.Resident))
+		most.ControlBytesPerSecond = max(most.ControlBytesPerSecond, float64(a.control-b.control)/seconds)
 	}
 	return most, nil
 }
@@ -176,7 +176,7 @@
 func (m *Meter) read(ctx context.Context) ([]nodeReading, error) {
 	var all []nodeReading
 	for _, e := range m.Fleet.Endpoints {
-		status, err := m.Fleet.Status.Read(ctx, e.Admin)
+		status, err := m.Fleet.Status.Read(ctx, e.AdminAddress)
 		if err != nil {
 			return nil, err
 		}
--- a/bench/deployer/deployer.go
+++ b/bench/deployer/deployer.go
@@ -40,13 +40,13 @@
 )
 
 // Control is a control mode of the nodes.
-type Control string
+type ControlMode string
 
 // The control modes.
 const (
-	ControlOff      Control = "off"
-	ControlFixed    Control = "fixed"
-	ControlAdaptive Control = "adaptive"
+	ControlOff      ControlMode = "off"
+	ControlFixed    ControlMode = "fixed"
+	ControlAdaptive ControlMode = "adaptive"
 )
 
 // Deployer starts deployments.
@@ -56,12 +56,12 @@
 	// Bin is the folder of the programs, NodeBin that of the node program.
 	Bin     string
 	NodeBin string
-	Control Control
+	Control ControlMode
 	// Folder takes the settings files of the nodes.
 	Folder string
 	// Recorded adds a recorder that keeps all runs.
-	Recorded bool
-	Seed     uint64
+	WithRecorder bool
+	Seed         uint64
 }
 
 // nodeSettings are the settings of a node that a trial sets.
@@ -117,14 +117,14 @@
 	if err != nil {
 		return err
 	}
-	f.Log = cassiatally.Address(p.Listening["address"])
-	if !d.Recorded {
+	f.LogAddress = cassiatally.Address(p.Listening["address"])
+	if !d.WithRecorder {
 		return nil
 	}
 	if p, err = d.standin(ctx, "recorder", "recorder"); err != nil {
 		return err
 	}
-	f.Recorder = "http://" + p.Listening["address"]
+	f.RecorderURL = "http://" + p.Listening["address"]
 	return nil
 }
 
@@ -178,8 +178,8 @@
 			return err
 		}
 		e.Node = p
-		e.Callers = "http://" + p.Listening["callers"]
-		e.Admin = cassiatally.Address(p.Listening["admin"])
+		e.CallerURL = "http://" + p.Listening["callers"]
+		e.AdminAddress = cassiatally.Address(p.Listening["admin"])
 	}
 	return nil
 }
@@ -197,7 +197,7 @@
 		Listen:    listenSection{Callers: "127.0.0.1:0", Backend: "127.0.0.1:0", Links: string(e.listen), Admin: "127.0.0.1:0"},
 		Advertise: &advertiseSection{Links: string(e.advertise)},
 		Seeds:     f.seeds(e),
-		Log:       logSection{Address: "http://" + string(f.Log), Timeout: controlTimeout.String()},
+		Log:       logSection{Address: "http://" + string(f.LogAddress), Timeout: controlTimeout.String()},
 		Control:   string(d.Control),
 		LogLevel:  "warn",
 	}
@@ -218,8 +218,8 @@
 			"--queue", strconv.Itoa(backendQueue), "--service-time", s.ServiceTime.String(),
 			"--seed", strconv.FormatUint(d.Seed+uint64(i), 10),
 		}
-		if f.Recorder != "" {
-			args = append(args, "--recorder", f.Recorder)
+		if f.RecorderURL != "" {
+			args = append(args, "--recorder", f.RecorderURL)
 		}
 		for _, w := range s.Work {
 			args = append(args, "--work", w)
--- a/bench/deployer/fleet.go
+++ b/bench/deployer/fleet.go
@@ -29,8 +29,8 @@
 	Node       *launcher.Process
 	Backend    *launcher.Process
 	// Callers is the URL for callers, Admin the address for operators.
-	Callers string
-	Admin   cassiatally.Address
+	CallerURL    string
+	AdminAddress cassiatally.Address
 
 	// listen is the address of the node for links, advertise the one that others
 	// use.
@@ -57,12 +57,12 @@
 // Fleet is a deployment that runs.
 type Fleet struct {
 	Deployment deployment.Deployment
-	Log        cassiatally.Address
+	LogAddress cassiatally.Address
 	// Recorder is the URL of the recorder; empty for none.
-	Recorder  string
-	Endpoints []*Endpoint
-	Status    *statusreader.Reader
-	Client    *http.Client
+	RecorderURL string
+	Endpoints   []*Endpoint
+	Status      *statusreader.Reader
+	Client      *http.Client
 }
 
 // seeds returns the links of the first node of each data centre but e itself.
@@ -79,16 +79,16 @@
 }
 
 // Callers returns the URLs of all nodes for callers.
-func (f *Fleet) Callers() []string {
+func (f *Fleet) CallerURLs() []string {
 	urls := make([]string, 0, len(f.Endpoints))
 	for _, e := range f.Endpoints {
-		urls = append(urls, e.Callers)
+		urls = append(urls, e.CallerURL)
 	}
 	return urls
 }
 
 // Of returns the endpoints of a service.
-func (f *Fleet) Of(s cassiatally.Service) []*Endpoint {
+func (f *Fleet) EndpointsOf(s cassiatally.Service) []*Endpoint {
 	var found []*Endpoint
 	for _, e := range f.Endpoints {
 		if e.Service.Name == s {
@@ -107,15 +107,15 @@
 // WaitMembers waits until each node knows all endpoints.
 func (f *Fleet) WaitMembers(ctx context.Context) error {
 	return f.waitAll(ctx, "know all endpoints", func(ctx context.Context, e *Endpoint) bool {
-		s, err := f.Status.Read(ctx, e.Admin)
-		return err == nil && s.Endpoints() == len(f.Endpoints)
+		s, err := f.Status.Read(ctx, e.AdminAddress)
+		return err == nil && s.EndpointCount() == len(f.Endpoints)
 	})
 }
 
 // WaitSheet waits until a version of the sheet is in force on each node.
 func (f *Fleet) WaitSheet(ctx context.Context, v cassiatally.Version) error {
 	return f.waitAll(ctx, "have the sheet in force", func(ctx context.Context, e *Endpoint) bool {
-		s, err := f.Status.Read(ctx, e.Admin)
+		s, err := f.Status.Read(ctx, e.AdminAddress)
 		return err == nil && s.Sheet.Version >= v
 	})
 }
@@ -123,7 +123,7 @@
 // WaitKeys waits until each node mints keys.
 func (f *Fleet) WaitKeys(ctx context.Context) error {
 	return f.waitAll(ctx, "mint keys", func(ctx context.Context, e *Endpoint) bool {
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, e.Callers+"/v1/keys", http.NoBody)
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, e.CallerURL+"/v1/keys", http.NoBody)
 		if err != nil {
 			return false
 		}
--- a/bench/deployment/deployment.go
+++ b/bench/deployment/deployment.go
@@ -54,7 +54,7 @@
 type Class struct {
 	loadplan.Class
 	// Part is the part of the class in the mixed load, relative to the others.
-	Part float64
+	Weight float64
 }
 
 // Deployment describes a deployment.
@@ -64,12 +64,12 @@
 	Services    []Service
 	// Narrow is the service with the least capacity. Each request of the classes
 	// that Classes lists, but those marked in Elsewhere, calls it once.
-	Narrow cassiatally.Service
+	Bottleneck cassiatally.Service
 	// Deep is the deepest kind of work of the call graph.
-	Deep    cassiatally.WorkKind
-	Classes []Class
+	DeepestKind cassiatally.WorkKind
+	Classes     []Class
 	// Elsewhere lists classes that do not call the narrow service.
-	Elsewhere []loadplan.ClassName
+	BypassingClasses []loadplan.ClassName
 	// CallerLatency is the one-way delay of callers, LinkLatency that between
 	// nodes.
 	CallerLatency time.Duration
@@ -98,7 +98,7 @@
 	for i := range d.Services {
 		s := &d.Services[i]
 		s.ServiceTime = time.Duration(float64(wideServiceTime) / scale)
-		if s.Name == d.Narrow {
+		if s.Name == d.Bottleneck {
 			s.ServiceTime = time.Duration(float64(narrowServiceTime) / scale)
 		}
 	}
@@ -107,28 +107,28 @@
 
 // Capacity returns the capacity of the narrow service: slots over service time.
 func (d Deployment) Capacity() loadplan.Rate {
-	s := d.NarrowService()
+	s := d.BottleneckService()
 	return loadplan.Rate(float64(len(d.DataCentres)) * float64(s.Slots) / s.ServiceTime.Seconds())
 }
 
 // NarrowService returns the service with the least capacity.
-func (d Deployment) NarrowService() Service {
-	i := slices.IndexFunc(d.Services, func(s Service) bool { return s.Name == d.Narrow })
+func (d Deployment) BottleneckService() Service {
+	i := slices.IndexFunc(d.Services, func(s Service) bool { return s.Name == d.Bottleneck })
 	return d.Services[i]
 }
 
 // Mixed returns the rate of each class when all of them together send the
 // narrow service the given load, in multiples of its capacity.
-func (d Deployment) Mixed(load float64) map[loadplan.ClassName]loadplan.Rate {
+func (d Deployment) MixedRates(load float64) map[loadplan.ClassName]loadplan.Rate {
 	sum := 0.0
 	for _, c := range d.Classes {
 		if !d.elsewhere(c.Name) {
-			sum += c.Part
+			sum += c.Weight
 		}
 	}
 	rates := make(map[loadplan.ClassName]loadplan.Rate)
 	for _, c := range d.Classes {
-		rates[c.Name] = loadplan.Rate(load*c.Part/sum) * d.Capacity()
+		rates[c.Name] = loadplan.Rate(load*c.Weight/sum) * d.Capacity()
 	}
 	return rates
 }
@@ -136,18 +136,18 @@
 // FullyNarrow returns the deployment with classes that all call the narrow
 // service, so that a flood of any class reaches it. No caller waits longer than
 // the limit, which bounds the time that a trial takes to end.
-func (d Deployment) FullyNarrow(limit time.Duration) Deployment {
+func (d Deployment) AllThroughBottleneck(limit time.Duration) Deployment {
 	d.Services = slices.Clone(d.Services)
 	for i := range d.Services {
 		s := &d.Services[i]
 		s.Work = slices.Clone(s.Work)
 		for j, w := range s.Work {
-			if slices.Contains(d.Elsewhere, loadplan.ClassName(w)) {
-				s.Work[j] = fmt.Sprintf("%s=%s/%s", w, d.Narrow, d.Deep)
+			if slices.Contains(d.BypassingClasses, loadplan.ClassName(w)) {
+				s.Work[j] = fmt.Sprintf("%s=%s/%s", w, d.Bottleneck, d.DeepestKind)
 			}
 		}
 	}
-	d.Elsewhere = nil
+	d.BypassingClasses = nil
 	d.Classes = slices.Clone(d.Classes)
 	for i := range d.Classes {
 		c := &d.Classes[i]
@@ -167,4 +167,6 @@
 	return plan
 }
 
-func (d Deployment) elsewhere(n loadplan.ClassName) bool { return slices.Contains(d.Elsewhere, n) }
+func (d Deployment) elsewhere(n loadplan.ClassName) bool {
+	return slices.Contains(d.BypassingClasses, n)
+}
--- a/bench/deployment/deployment_test.go
+++ b/bench/deployment/deployment_test.go
@@ -40,7 +40,7 @@
 			d, err := Named(name, 0.1)
 			is.NoErr(err)
 			sum := loadplan.Rate(0)
-			for class, rate := range d.Mixed(1.5) {
+			for class, rate := range d.MixedRates(1.5) {
 				if !d.elsewhere(class) {
 					sum += rate
 				}
--- a/bench/deployment/named.go
+++ b/bench/deployment/named.go
@@ -17,7 +17,7 @@
 // class returns a class whose callers time out at the target and then send the
 // request again.
 func class(name, service, kind string, target time.Duration, part float64) Class {
-	return Class{Part: part, Class: loadplan.Class{
+	return Class{Weight: part, Class: loadplan.Class{
 		Name: loadplan.ClassName(name), Service: cassiatally.Service(service), Kind: cassiatally.WorkKind(kind),
 		Tenants: []cassiatally.Tenant{"north", "south", "east", "west"},
 		Timeout: target, Target: target, BodySize: kibi,
@@ -37,8 +37,8 @@
 	const check = "avail-svc/check"
 	return Deployment{
 		DataCentres: []cassiatally.DataCentre{"edinburgh", "glasgow", "stirling", "dundee"},
-		Narrow:      "avail-svc",
-		Deep:        "check",
+		Bottleneck:  "avail-svc",
+		DeepestKind: "check",
 		Services: []Service{
 			{Name: "avail-svc", Slots: 15, Connections: 200, Work: []string{"check"}},
 			{Name: "booking-svc", Slots: 110, Connections: 750, Work: []string{"confirm=" + check + ",dispatch-svc/schedule_delivery,depot-svc/reserve"}},
@@ -53,9 +53,9 @@
 			class("view", "dispatch-svc", "view_schedule", 1500*time.Millisecond, 0.2),
 			class("report", "depot-svc", "report", 10*time.Second, 0.2),
 		},
-		Elsewhere:     []loadplan.ClassName{"report"},
-		CallerLatency: time.Millisecond,
-		Sheet:         "examples/barrier/sheet.csv",
+		BypassingClasses: []loadplan.ClassName{"report"},
+		CallerLatency:    time.Millisecond,
+		Sheet:            "examples/barrier/sheet.csv",
 	}
 }
 
@@ -63,8 +63,8 @@
 	const verify = "harapan/verify"
 	return Deployment{
 		DataCentres: []cassiatally.DataCentre{"manila", "quezon", "baguio", "batangas"},
-		Narrow:      "harapan",
-		Deep:        "verify",
+		Bottleneck:  "harapan",
+		DeepestKind: "verify",
 		Services: []Service{
 			{Name: "harapan", Slots: 10, Connections: 160, Work: []string{"verify"}},
 			{Name: "archivo", Slots: 90, Connections: 630, Work: []string{"prior_filings=" + verify}},
--- a/bench/experimenter/experimenter.go
+++ b/bench/experimenter/experimenter.go
@@ -39,7 +39,7 @@
 // Mode is one way to run the nodes.
 type Mode struct {
 	Name    observation.Mode
-	Control deployer.Control
+	Control deployer.ControlMode
 	// NodeBin is the folder of the node program; empty for that of this commit.
 	NodeBin string
 }
@@ -56,15 +56,15 @@
 	Length time.Duration
 	// Shared runs all scenarios of a mode on one fleet, whose links have no delay.
 	// Otherwise each scenario has a fleet of its own.
-	Shared bool
-	Logger *log.Logger
+	SharedFleet bool
+	Logger      *log.Logger
 }
 
 // Run runs all scenarios. Modes alternate within a scenario, so that a change of
 // the machine's load meets all of them.
 func (e *Experimenter) Run(ctx context.Context) ([]observation.Observation, error) {
 	groups := [][]scenario.Scenario{e.Scenarios}
-	if !e.Shared {
+	if !e.SharedFleet {
 		groups = nil
 		for _, s := range e.Scenarios {
 			groups = append(groups, []scenario.Scenario{s})
@@ -102,7 +102,7 @@
 		return nil, errors.Wrap(err, "making a folder for logs")
 	}
 	defer os.RemoveAll(folder)
-	l := &launcher.Launcher{Logs: folder, Environment: launcher.SmallHost()}
+	l := &launcher.Launcher{Logs: folder, Environment: launcher.SmallHostEnvironment()}
 	l.Run()
 	defer l.Close()
 	p, err := e.start(ctx, m, l, folder, group)
@@ -122,7 +122,7 @@
 
 func (e *Experimenter) start(ctx context.Context, m Mode, l *launcher.Launcher, folder string, group []scenario.Scenario) (*sheetpublisher.Publisher, error) {
 	dep := e.Deployment
-	if e.Shared || group[0].Name == scenario.Cost {
+	if e.SharedFleet || group[0].Name == scenario.Cost {
 		dep.LinkLatency = 0
 	}
 	bin := filepath.Join(e.Root, "bin")
@@ -148,12 +148,12 @@
 func (e *Experimenter) observe(ctx context.Context, m Mode, p *sheetpublisher.Publisher, s scenario.Scenario) (observation.Observation, error) {
 	o := observation.Observation{Mode: m.Name, Scenario: s}
 	var err error
-	if o.Load, err = (machine.Machine{}).LoadAverage(); err != nil {
+	if o.LoadAverage, err = (machine.Machine{}).LoadAverage(); err != nil {
 		return o, err
 	}
-	e.Logger.Info("scenario", "name", s.Name, "mode", m.Name, "load_average", float64(o.Load))
-	if cores := (machine.Machine{}).Cores(); float64(o.Load) > float64(cores) {
-		e.Logger.Warn("load average above the number of cores", "load_average", float64(o.Load), "cores", cores)
+	e.Logger.Info("scenario", "name", s.Name, "mode", m.Name, "load_average", float64(o.LoadAverage))
+	if cores := (machine.Machine{}).Cores(); float64(o.LoadAverage) > float64(cores) {
+		e.Logger.Warn("load average above the number of cores", "load_average", float64(o.LoadAverage), "cores", cores)
 	}
 	if s.Name == scenario.Cost {
 		meter := &costmeter.Meter{Fleet: p.Fleet, Publisher: p, Sheet: e.sheet(), Seed: e.Seed, Length: e.Length}
@@ -176,7 +176,7 @@
 	t := &trial.Trial{Fleet: f, Name: string(o.Scenario.Name), Seed: e.Seed, Progress: e.Logger}
 	results := t.Run(ctx, o.Scenario.Phases)
 	wg.Wait()
-	o.Start, o.Told, o.Unsent = results.Start, results.Told, results.Unsent
+	o.Start, o.Requests, o.Unsent = results.Start, results.Requests, results.Unsent
 	if err := ctx.Err(); err != nil {
 		return errors.Wrap(err, "the load was stopped")
 	}
@@ -216,7 +216,7 @@
 			return nil, err
 		}
 		for _, r := range body.Runs {
-			if observation.Own(r, name) {
+			if observation.BelongsTo(r, name) {
 				all = append(all, r)
 			}
 		}
--- a/bench/launcher/launcher.go
+++ b/bench/launcher/launcher.go
@@ -147,4 +147,4 @@
 // SmallHost returns the environment of processes on small hosts: two processors
 // each. It also keeps 35 Go programs from taking 10 threads each for their
 // scheduling on the shared machine.
-func SmallHost() []string { return []string{"GOMAXPROCS=2"} }
+func SmallHostEnvironment() []string { return []string{"GOMAXPROCS=2"} }
--- a/bench/machine/machine.go
+++ b/bench/machine/machine.go
@@ -21,7 +21,7 @@
 const loadFile = "/proc/loadavg"
 
 // Load is a load average over one minute.
-type Load float64
+type LoadAverage float64
 
 // Machine is the machine that trials run on.
 type Machine struct{}
@@ -30,7 +30,7 @@
 func (Machine) Cores() int { return runtime.NumCPU() }
 
 // LoadAverage returns the load average over the last minute.
-func (Machine) LoadAverage() (Load, error) {
+func (Machine) LoadAverage() (LoadAverage, error) {
 	data, err := os.ReadFile(loadFile)
 	if err != nil {
 		return 0, errors.Wrap(err, "reading the load average")
@@ -38,10 +38,10 @@
 	return parseLoad(string(data))
 }
 
-func parseLoad(text string) (Load, error) {
+func parseLoad(text string) (LoadAverage, error) {
 	first, _, _ := strings.Cut(text, " ")
 	v, err := strconv.ParseFloat(first, 64)
-	return Load(v), errors.Wrap(err, "reading the load average")
+	return LoadAverage(v), errors.Wrap(err, "reading the load average")
 }
 
 // Commit returns the commit of a work tree, marked when files differ from it, or
--- a/bench/measurer/measurer.go
+++ b/bench/measurer/measurer.go
@@ -65,23 +65,23 @@
 		cost(o.Cost, add)
 	case scenario.Demand:
 		m.demand(o, add)
-		add(ExecutionsOverload, Executions(o.Runs, m.Deployment))
+		add(ExecutionsOverload, ExecutionsPerRequest(o.Runs, m.Deployment))
 		add(WasteOverload, m.Waste(o))
 	case scenario.Flood:
 		m.flood(o, add)
 	case scenario.Surge:
-		add(BackSurge, Back(o).Seconds())
-		add(StaysSurge, Stays(o).Seconds())
+		add(BackSurge, RecoveryTime(o).Seconds())
+		add(StaysSurge, StableRecoveryTime(o).Seconds())
 	case scenario.Slow:
-		add(BackSlow, Back(o).Seconds())
-		add(StaysSlow, Stays(o).Seconds())
-		add(ExecutionsSlow, Executions(o.Runs, m.Deployment))
+		add(BackSlow, RecoveryTime(o).Seconds())
+		add(StaysSlow, StableRecoveryTime(o).Seconds())
+		add(ExecutionsSlow, ExecutionsPerRequest(o.Runs, m.Deployment))
 		add(WasteSlow, m.Waste(o))
 	case scenario.Unequal:
 		add(GoodputUnequal, Goodput(o, scenario.PhaseUnequal, o.Scenario.Capacity))
 	case scenario.Lost:
-		add(BackLost, Back(o).Seconds())
-		add(StaysLost, Stays(o).Seconds())
+		add(BackLost, RecoveryTime(o).Seconds())
+		add(StaysLost, StableRecoveryTime(o).Seconds())
 	}
 	return values
 }
@@ -90,19 +90,19 @@
 	const kibi = 1 << 10
 	add(AddedP50, millis(c.AddedP50))
 	add(AddedP99, millis(c.AddedP99))
-	add(ControlRest, c.Rest.Control/kibi)
-	add(ControlBusy, c.Busy.Control/kibi)
-	add(ProcessorRest, c.Rest.Processor)
-	add(ProcessorBusy, c.Busy.Processor)
-	add(MemoryRest, c.Rest.Resident/kibi/kibi)
-	add(MemoryBusy, c.Busy.Resident/kibi/kibi)
-	add(SheetInForce, c.Sheet.Seconds())
+	add(ControlRest, c.Rest.ControlBytesPerSecond/kibi)
+	add(ControlBusy, c.Busy.ControlBytesPerSecond/kibi)
+	add(ProcessorRest, c.Rest.Cores)
+	add(ProcessorBusy, c.Busy.Cores)
+	add(MemoryRest, c.Rest.ResidentBytes/kibi/kibi)
+	add(MemoryBusy, c.Busy.ResidentBytes/kibi/kibi)
+	add(SheetInForce, c.SheetPropagation.Seconds())
 }
 
 func (m *Measurer) demand(o observation.Observation, add func(ID, float64)) {
 	ids := map[float64]ID{0.8: Goodput08, 1.5: Goodput15, 3: Goodput3, 6: Goodput6}
 	worst := math.Inf(1)
-	for _, multiple := range scenario.Multiples() {
+	for _, multiple := range scenario.DemandMultiples() {
 		phase := scenario.DemandPhase(multiple)
 		g := Goodput(o, phase, o.Scenario.Capacity)
 		add(ids[multiple], g)
@@ -132,7 +132,7 @@
 		if !slices.Contains(phases, p.Name) || m.demandOf(p, 0) >= o.Scenario.Capacity {
 			continue
 		}
-		for _, r := range o.Told {
+		for _, r := range o.Requests {
 			if r.Phase == string(p.Name) && m.rank(r) == 0 {
 				tally.add(r)
 			}
@@ -149,7 +149,7 @@
 		least = max(least, m.Policies.Rank(c.Service, c.Kind))
 	}
 	var tally tally
-	for _, r := range o.Told {
+	for _, r := range o.Requests {
 		if r.Phase == string(scenario.PhaseFloodLeast) && m.rank(r) != least {
 			tally.add(r)
 		}
@@ -169,10 +169,10 @@
 			return math.NaN()
 		}
 		own := o
-		own.Told = nil
-		for _, r := range o.Told {
+		own.Requests = nil
+		for _, r := range o.Requests {
 			if m.rank(r) == rank {
-				own.Told = append(own.Told, r)
+				own.Requests = append(own.Requests, r)
 			}
 		}
 		return Goodput(own, p.Name, stated)
@@ -197,13 +197,13 @@
 // Goodput returns the rate at which whole answers arrived in time in a phase,
 // but for its first part, over the capacity.
 func Goodput(o observation.Observation, phase loadplan.PhaseName, capacity loadplan.Rate) float64 {
-	from, to := o.Scenario.Offset(phase)
+	from, to := o.Scenario.PhaseSpan(phase)
 	from += time.Duration(float64(to-from) * settlePart)
 	if to <= from || capacity <= 0 {
 		return math.NaN()
 	}
 	n := 0
-	for _, r := range o.Told {
+	for _, r := range o.Requests {
 		at := r.At.Sub(o.Start)
 		if r.InTime && at >= from && at < to {
 			n++
@@ -218,41 +218,41 @@
 // before. Parts of what was due are compared, and not rates, since a rate over
 // such a short window varies by more than 0.05 by chance. When there is no such
 // window, it returns the time that was observed, which is then a lower bound.
-func Back(o observation.Observation) time.Duration {
-	from, to := o.Scenario.Offset(scenario.PhaseBefore)
+func RecoveryTime(o observation.Observation) time.Duration {
+	from, to := o.Scenario.PhaseSpan(scenario.PhaseBefore)
 	level := partDue(o, from+time.Duration(float64(to-from)*settlePart), to) * backPart
-	_, end := o.Scenario.Offset(scenario.PhaseAfter)
-	for at := o.Scenario.Restored; at+backWindow <= end; at += backStep {
+	_, end := o.Scenario.PhaseSpan(scenario.PhaseAfter)
+	for at := o.Scenario.DisturbanceEnd; at+backWindow <= end; at += backStep {
 		if part := partDue(o, at, at+backWindow); part >= level && part > 0 {
-			return at - o.Scenario.Restored
+			return at - o.Scenario.DisturbanceEnd
 		}
 	}
-	return end - o.Scenario.Restored
+	return end - o.Scenario.DisturbanceEnd
 }
 
 // Stays returns the time from the end of a disturbance after which no window of
 // the time that was observed falls below the level that Back looks for. It is
 // longer than Back when the level is reached and lost again, as after the loss
 // of a data centre, whose effect begins late.
-func Stays(o observation.Observation) time.Duration {
-	from, to := o.Scenario.Offset(scenario.PhaseBefore)
+func StableRecoveryTime(o observation.Observation) time.Duration {
+	from, to := o.Scenario.PhaseSpan(scenario.PhaseBefore)
 	level := partDue(o, from+time.Duration(float64(to-from)*settlePart), to) * backPart
-	_, end := o.Scenario.Offset(scenario.PhaseAfter)
+	_, end := o.Scenario.PhaseSpan(scenario.PhaseAfter)
 	stays := end
-	for at := end - backWindow; at >= o.Scenario.Restored; at -= backStep {
+	for at := end - backWindow; at >= o.Scenario.DisturbanceEnd; at -= backStep {
 		if part := partDue(o, at, at+backWindow); part < level || part == 0 {
 			break
 		}
 		stays = at
 	}
-	return stays - o.Scenario.Restored
+	return stays - o.Scenario.DisturbanceEnd
 }
 
 // partDue returns the part of the requests due in a window that were completed
 // in time.
 func partDue(o observation.Observation, from, to time.Duration) float64 {
 	var tally tally
-	for _, r := range o.Told {
+	for _, r := range o.Requests {
 		if due := o.Due(r); due >= from && due < to {
 			tally.add(r)
 		}
@@ -262,11 +262,11 @@
 
 // Executions returns the number of runs of the deepest work for each request
 // that reached it. Copies that a caller sent again count as the same request.
-func Executions(runs []core.Run, d deployment.Deployment) float64 {
+func ExecutionsPerRequest(runs []core.Run, d deployment.Deployment) float64 {
 	roots := make(map[core.RequestID]bool)
 	n := 0
 	for _, r := range runs {
-		if r.Service == d.Narrow && r.Kind == d.Deep {
+		if r.Service == d.Bottleneck && r.Kind == d.DeepestKind {
 			n++
 			roots[r.ID] = true
 		}
@@ -282,7 +282,7 @@
 // service, and elsewhere its time without the wait for onward calls.
 func (m *Measurer) Waste(o observation.Observation) float64 {
 	completed := make(map[core.RequestID]bool)
-	for _, r := range o.Told {
+	for _, r := range o.Requests {
 		completed[r.ID] = r.InTime
 	}
 	var all, wasted time.Duration
@@ -304,7 +304,7 @@
 		return 0
 	}
 	took := r.End.Sub(r.Start)
-	if r.Service == m.Deployment.Narrow {
+	if r.Service == m.Deployment.Bottleneck {
 		return took
 	}
 	for _, s := range m.Deployment.Services {
--- a/bench/measurer/measurer_test.go
+++ b/bench/measurer/measurer_test.go
@@ -35,7 +35,7 @@
 		return deployment.Class{Class: loadplan.Class{Name: loadplan.ClassName(name), Service: cassiatally.Service(name), Kind: "do"}}
 	}
 	return deployment.Deployment{
-		Narrow: "narrow", Deep: "deep",
+		Bottleneck: "narrow", DeepestKind: "deep",
 		Services: []deployment.Service{{Name: "wide", ServiceTime: 10 * time.Millisecond}, {Name: "narrow", ServiceTime: 100 * time.Millisecond}},
 		Classes:  []deployment.Class{class("urgent"), class("usual"), class("least")},
 	}
@@ -60,9 +60,9 @@
 
 func observe(phases []loadplan.Phase, restored time.Duration, told ...[]collector.Result) observation.Observation {
 	o := observation.Observation{Start: epoch, Mode: "adaptive"}
-	o.Scenario = scenario.Scenario{Phases: phases, Restored: restored, Capacity: 100}
+	o.Scenario = scenario.Scenario{Phases: phases, DisturbanceEnd: restored, Capacity: 100}
 	for _, t := range told {
-		o.Told = append(o.Told, t...)
+		o.Requests = append(o.Requests, t...)
 	}
 	return o
 }
@@ -121,7 +121,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(Back(observe(phases, 4*time.Second, before, disturbed, after(c.failing))), c.want)
+			is.Equal(RecoveryTime(observe(phases, 4*time.Second, before, disturbed, after(c.failing))), c.want)
 		})
 	}
 }
@@ -152,7 +152,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(Stays(observe(phases, 2*time.Second, before, after(c.failFrom, c.failTo))), c.want)
+			is.Equal(StableRecoveryTime(observe(phases, 2*time.Second, before, after(c.failFrom, c.failTo))), c.want)
 		})
 	}
 }
@@ -163,12 +163,12 @@
 	is := is.New(t)
 	phases := []loadplan.Phase{phase(scenario.PhaseBefore, 2), phase(scenario.PhaseAfter, 2)}
 	o := observe(phases, 2*time.Second, steady("before", "usual", 0, 2*time.Second, true), steady("after", "usual", 2*time.Second, 4*time.Second, true))
-	for i := range o.Told {
-		if o.Told[i].Phase == "after" {
-			o.Told[i].LatencyMS = 2000
+	for i := range o.Requests {
+		if o.Requests[i].Phase == "after" {
+			o.Requests[i].LatencyMS = 2000
 		}
 	}
-	is.Equal(Back(o), 2*time.Second)
+	is.Equal(RecoveryTime(o), 2*time.Second)
 }
 
 func deepRun(id string) core.Run {
@@ -191,12 +191,12 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			is.True(near(Executions(c.runs, testDeployment()), c.want))
+			is.True(near(ExecutionsPerRequest(c.runs, testDeployment()), c.want))
 		})
 	}
 	t.Run("no runs give no measure", func(t *testing.T) {
 		is := is.New(t)
-		is.True(math.IsNaN(Executions(nil, testDeployment())))
+		is.True(math.IsNaN(ExecutionsPerRequest(nil, testDeployment())))
 	})
 }
 
--- a/bench/observation/observation.go
+++ b/bench/observation/observation.go
@@ -25,13 +25,13 @@
 	Mode     Mode
 	Scenario scenario.Scenario
 	Start    time.Time
-	Told     []collector.Result
+	Requests []collector.Result
 	// Unsent counts requests that the load could not send in time.
 	Unsent int
 	// Runs are the executions at backend servers that are still alive.
 	Runs []core.Run
 	// Load is the load average when the scenario began.
-	Load machine.Load
+	LoadAverage machine.LoadAverage
 	// Cost is set for the cost scenario only.
 	Cost *Cost
 }
@@ -46,19 +46,19 @@
 	AddedP99 time.Duration
 	// Sheet is the time from the acceptance of a sheet until it is in force on all
 	// nodes.
-	Sheet time.Duration
-	Rest  Usage
-	Busy  Usage
+	SheetPropagation time.Duration
+	Rest             Usage
+	Busy             Usage
 }
 
 // Usage is the use of the node that uses most.
 type Usage struct {
 	// Processor is the part of one core.
-	Processor float64
+	Cores float64
 	// Resident is the resident memory in bytes.
-	Resident float64
+	ResidentBytes float64
 	// Control is the control traffic, sent and received, in bytes a second.
-	Control float64
+	ControlBytesPerSecond float64
 }
 
 // Due returns when a request was due, since the start.
@@ -67,6 +67,6 @@
 }
 
 // Own reports whether a run belongs to the load of the scenario.
-func Own(r core.Run, name scenario.Name) bool {
+func BelongsTo(r core.Run, name scenario.Name) bool {
 	return strings.HasPrefix(string(r.ID), string(name)+"-")
 }
--- a/bench/plotter/plotter.go
+++ b/bench/plotter/plotter.go
@@ -56,7 +56,7 @@
 		length += p.Duration
 	}
 	counts := make([]int, length/window)
-	for _, r := range o.Told {
+	for _, r := range o.Requests {
 		at := int(r.At.Sub(o.Start) / window)
 		if r.InTime && at >= 0 && at < len(counts) {
 			counts[at]++
--- a/bench/processmeter/processmeter.go
+++ b/bench/processmeter/processmeter.go
@@ -36,19 +36,19 @@
 
 // Usage is what a process has used until a time.
 type Usage struct {
-	At        time.Time
-	Processor time.Duration
-	Resident  Bytes
+	At            time.Time
+	ProcessorTime time.Duration
+	Resident      Bytes
 }
 
 // Share returns the part of one core that the process used since an earlier
 // reading.
-func (u Usage) Share(earlier Usage) float64 {
+func (u Usage) CoresSince(earlier Usage) float64 {
 	elapsed := u.At.Sub(earlier.At)
 	if elapsed <= 0 {
 		return 0
 	}
-	return float64(u.Processor-earlier.Processor) / float64(elapsed)
+	return float64(u.ProcessorTime-earlier.ProcessorTime) / float64(elapsed)
 }
 
 // Meter reads processes.
@@ -66,7 +66,7 @@
 		return Usage{}, errors.Wrap(err, "reading the memory of a process")
 	}
 	u := Usage{At: time.Now()}
-	if u.Processor, err = parseStat(string(stat)); err != nil {
+	if u.ProcessorTime, err = parseStat(string(stat)); err != nil {
 		return u, err
 	}
 	u.Resident, err = parseStatus(string(status))
--- a/bench/processmeter/processmeter_test.go
+++ b/bench/processmeter/processmeter_test.go
@@ -47,10 +47,10 @@
 // TestShare guards against a division by no time.
 func TestShare(t *testing.T) {
 	is := is.New(t)
-	start := Usage{At: time.Unix(100, 0), Processor: time.Second}
-	later := Usage{At: time.Unix(110, 0), Processor: 1500 * time.Millisecond}
-	is.Equal(later.Share(start), 0.05)
-	is.Equal(start.Share(start), 0.0)
+	start := Usage{At: time.Unix(100, 0), ProcessorTime: time.Second}
+	later := Usage{At: time.Unix(110, 0), ProcessorTime: 1500 * time.Millisecond}
+	is.Equal(later.CoresSince(start), 0.05)
+	is.Equal(start.CoresSince(start), 0.0)
 }
 
 // TestReadOwnProcess guards against a form of /proc that the meter cannot read.
--- a/bench/ranktable/ranktable.go
+++ b/bench/ranktable/ranktable.go
@@ -45,7 +45,7 @@
 	Failed int
 	// Twice counts calls of work that is not idempotent with several runs,
 	// onward calls included.
-	Twice     int
+	RunTwice  int
 	latencies []time.Duration
 }
 
@@ -98,7 +98,7 @@
 		c := call{r.ID, r.Service, r.Kind}
 		seen[c]++
 		if seen[c] == 2 {
-			t.rows[name].Twice++
+			t.rows[name].RunTwice++
 		}
 	}
 }
@@ -130,7 +130,7 @@
 		out.Add(
 			r.Phase, strconv.Itoa(int(r.Rank)), strings.Join(r.Classes, ","), strconv.Itoa(r.Offered),
 			fmt.Sprintf("%d (%.1f%%)", r.Completed, percent(r.Completed, r.Offered)), strconv.Itoa(r.Shed),
-			strconv.Itoa(r.Unknown), strconv.Itoa(r.Failed), strconv.Itoa(r.Twice),
+			strconv.Itoa(r.Unknown), strconv.Itoa(r.Failed), strconv.Itoa(r.RunTwice),
 			round(r.Quantile(median)), round(r.Quantile(percentile)),
 		)
 	}
--- a/bench/ranktable/ranktable_test.go
+++ b/bench/ranktable/ranktable_test.go
@@ -85,7 +85,7 @@
 			table := New(openBook(t))
 			table.Add([]core.Told{confirm("a", core.ToldRan, 200)})
 			table.AddRuns(c.runs)
-			is.Equal(table.Rows()[0].Twice, c.want)
+			is.Equal(table.Rows()[0].RunTwice, c.want)
 		})
 	}
 }
--- a/bench/scenario/scenario.go
+++ b/bench/scenario/scenario.go
@@ -35,8 +35,8 @@
 
 // The phases that measures refer to.
 const (
-	PhaseWarm        loadplan.PhaseName = "warm"
-	PhaseRest        loadplan.PhaseName = "rest"
+	PhaseWarmUp      loadplan.PhaseName = "warm"
+	PhaseCooldown    loadplan.PhaseName = "rest"
 	PhaseBefore      loadplan.PhaseName = "before"
 	PhaseDisturbed   loadplan.PhaseName = "disturbed"
 	PhaseAfter       loadplan.PhaseName = "after"
@@ -69,7 +69,7 @@
 )
 
 // Multiples returns the loads of the demand scenario.
-func Multiples() []float64 { return []float64{0.8, 1.5, 3, 6} }
+func DemandMultiples() []float64 { return []float64{0.8, 1.5, 3, 6} }
 
 // DemandPhase returns the phase of a load of the demand scenario.
 func DemandPhase(multiple float64) loadplan.PhaseName {
@@ -95,13 +95,13 @@
 	Phases []loadplan.Phase
 	Events []Event
 	// Restored is the time since the start at which the disturbance ends.
-	Restored time.Duration
+	DisturbanceEnd time.Duration
 	// Capacity is the capacity of the narrow service in the measured phases.
 	Capacity loadplan.Rate
 }
 
 // Offset returns when a phase begins and ends, since the start.
-func (s Scenario) Offset(name loadplan.PhaseName) (from, to time.Duration) {
+func (s Scenario) PhaseSpan(name loadplan.PhaseName) (from, to time.Duration) {
 	for _, p := range s.Phases {
 		to = from + p.Duration
 		if p.Name == name {
@@ -149,15 +149,15 @@
 }
 
 func (c Catalogue) phase(n loadplan.PhaseName, d time.Duration, load float64) loadplan.Phase {
-	return loadplan.Phase{Name: n, Duration: d, Rates: c.Deployment.Mixed(load)}
+	return loadplan.Phase{Name: n, Duration: d, Rates: c.Deployment.MixedRates(load)}
 }
 
-func (c Catalogue) warm() loadplan.Phase { return c.phase(PhaseWarm, c.short(warmTime), warmLoad) }
+func (c Catalogue) warm() loadplan.Phase { return c.phase(PhaseWarmUp, c.short(warmTime), warmLoad) }
 
 // rest returns a pause after the measured phase of the name. Phases differ in
 // name, since ids of requests hold it.
 func (c Catalogue) rest(after loadplan.PhaseName) loadplan.Phase {
-	return c.phase(PhaseRest+"_"+after, c.short(restTime), warmLoad)
+	return c.phase(PhaseCooldown+"_"+after, c.short(restTime), warmLoad)
 }
 
 func (c Catalogue) short(d time.Duration) time.Duration {
@@ -169,7 +169,7 @@
 
 // multiples leaves out loads to save time in the quick profile.
 func (c Catalogue) multiples() []float64 {
-	all := Multiples()
+	all := DemandMultiples()
 	if c.Quick {
 		return []float64{all[1], all[len(all)-1]}
 	}
@@ -203,13 +203,13 @@
 		c.phase(PhaseDisturbed, c.Length, disturbed),
 		c.phase(PhaseAfter, c.Length+c.short(afterTime), steady),
 	}
-	_, s.Restored = s.Offset(PhaseDisturbed)
+	_, s.DisturbanceEnd = s.PhaseSpan(PhaseDisturbed)
 }
 
 func (c Catalogue) slow(s *Scenario) {
 	c.disturbance(s, steadyLoad, steadyLoad)
-	begin, end := s.Offset(PhaseDisturbed)
-	narrow := c.Deployment.NarrowService()
+	begin, end := s.PhaseSpan(PhaseDisturbed)
+	narrow := c.Deployment.BottleneckService()
 	s.Events = []Event{
 		{At: begin, Do: setAll(narrow, slowFactor*narrow.ServiceTime)},
 		{At: end, Do: setAll(narrow, narrow.ServiceTime)},
@@ -219,7 +219,7 @@
 func setAll(s deployment.Service, d time.Duration) func(context.Context, *deployer.Fleet) error {
 	return func(ctx context.Context, f *deployer.Fleet) error {
 		var err error
-		for _, e := range f.Of(s.Name) {
+		for _, e := range f.EndpointsOf(s.Name) {
 			err = errors.CombineErrors(err, f.SetServiceTime(ctx, e, d))
 		}
 		return err
@@ -227,7 +227,7 @@
 }
 
 func (c Catalogue) unequal(s *Scenario) {
-	narrow := c.Deployment.NarrowService()
+	narrow := c.Deployment.BottleneckService()
 	s.Capacity = 0
 	for _, factor := range unequalFactors() {
 		s.Capacity += loadplan.Rate(float64(narrow.Slots) / (narrow.ServiceTime.Seconds() * factor))
@@ -238,7 +238,7 @@
 		c.phase(PhaseBefore, c.Length, steadyLoad*part),
 		c.phase(PhaseUnequal, c.Length, unequalLoad*part),
 	}
-	_, end := s.Offset(PhaseUnequal)
+	_, end := s.PhaseSpan(PhaseUnequal)
 	s.Events = []Event{
 		{At: 0, Do: func(ctx context.Context, f *deployer.Fleet) error { return setUnequal(ctx, f, narrow) }},
 		{At: end, Do: setAll(narrow, narrow.ServiceTime)},
@@ -247,7 +247,7 @@
 
 func setUnequal(ctx context.Context, f *deployer.Fleet, s deployment.Service) error {
 	var err error
-	for i, e := range f.Of(s.Name) {
+	for i, e := range f.EndpointsOf(s.Name) {
 		d := time.Duration(float64(s.ServiceTime) * unequalFactors()[i])
 		err = errors.CombineErrors(err, f.SetServiceTime(ctx, e, d))
 	}
@@ -261,8 +261,8 @@
 		c.phase(PhaseBefore, c.Length, lostLoad),
 		c.phase(PhaseAfter, c.Length+c.short(afterTime), lostLoad),
 	}
-	_, s.Restored = s.Offset(PhaseBefore)
-	s.Events = []Event{{At: s.Restored, Do: killLast}}
+	_, s.DisturbanceEnd = s.PhaseSpan(PhaseBefore)
+	s.Events = []Event{{At: s.DisturbanceEnd, Do: killLast}}
 }
 
 func killLast(_ context.Context, f *deployer.Fleet) error {
--- a/bench/scenario/scenario_test.go
+++ b/bench/scenario/scenario_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Catalogue{Deployment: d.FullyNarrow(time.Second), Length: 5 * time.Second, Urgent: "confirm", Least: "report"}
+	return Catalogue{Deployment: d.AllThroughBottleneck(time.Second), Length: 5 * time.Second, Urgent: "confirm", Least: "report"}
 }
 
 func total(p loadplan.Phase) loadplan.Rate {
@@ -52,10 +52,10 @@
 			is := is.New(t)
 			s, err := catalogue(t).Named(n)
 			is.NoErr(err)
-			after, _ := s.Offset(PhaseAfter)
-			is.Equal(s.Restored, after)
+			after, _ := s.PhaseSpan(PhaseAfter)
+			is.Equal(s.DisturbanceEnd, after)
 			for _, e := range s.Events {
-				is.True(e.At <= s.Restored)
+				is.True(e.At <= s.DisturbanceEnd)
 			}
 		})
 	}
@@ -67,7 +67,7 @@
 	c := catalogue(t)
 	s, err := c.Named(Demand)
 	is.NoErr(err)
-	for _, m := range Multiples() {
+	for _, m := range DemandMultiples() {
 		for _, p := range s.Phases {
 			if p.Name == DemandPhase(m) {
 				is.True(total(p)/c.Deployment.Capacity() > loadplan.Rate(m)-0.01)
--- a/bench/sheetpublisher/sheetpublisher.go
+++ b/bench/sheetpublisher/sheetpublisher.go
@@ -31,7 +31,7 @@
 // it should by up to one round of status requests.
 func (p *Publisher) Publish(ctx context.Context, file string, basedOn cassiatally.Version) (time.Duration, error) {
 	cmd := exec.CommandContext(
-		ctx, p.Program, "sheet", "publish", file, "--log", string(p.Fleet.Log),
+		ctx, p.Program, "sheet", "publish", file, "--log", string(p.Fleet.LogAddress),
 		"--based-on", strconv.FormatUint(uint64(basedOn), 10), "--publisher", "bench",
 	)
 	output, err := cmd.CombinedOutput()
--- a/bench/statusreader/statusreader.go
+++ b/bench/statusreader/statusreader.go
@@ -45,7 +45,7 @@
 }
 
 // Endpoints returns how many endpoints the node knows.
-func (s Status) Endpoints() int {
+func (s Status) EndpointCount() int {
 	sum := 0
 	for _, service := range s.Services {
 		sum += service.Endpoints
--- a/bench/trial/trial.go
+++ b/bench/trial/trial.go
@@ -42,7 +42,7 @@
 
 // Results is what callers were told in a trial, and when its phases began.
 type Results struct {
-	Told []collector.Result
+	Requests []collector.Result
 	// Unsent counts requests that the load could not send in time.
 	Unsent int
 	Start  time.Time
@@ -57,7 +57,7 @@
 	l := &loader.Loader{
 		Plan: t.Fleet.Deployment.Plan(phases), Name: t.Name, Seed: t.Seed, Workers: workers, Results: c,
 		Caller: &caller.Caller{
-			Nodes: t.Fleet.Callers(), Client: &http.Client{Transport: transport}, Latency: t.Fleet.Deployment.CallerLatency,
+			Nodes: t.Fleet.CallerURLs(), Client: &http.Client{Transport: transport}, Latency: t.Fleet.Deployment.CallerLatency,
 		},
 	}
 	reporting, stop := context.WithCancel(ctx)
@@ -71,7 +71,7 @@
 	for _, r := range rows {
 		results.Unsent += r.Unsent
 	}
-	results.Told = c.Close()
+	results.Requests = c.Close()
 	return results
 }
 
@@ -104,8 +104,8 @@
 
 // Reports returns what callers were told, without the times.
 func (r Results) Reports() []core.Told {
-	told := make([]core.Told, 0, len(r.Told))
-	for _, one := range r.Told {
+	told := make([]core.Told, 0, len(r.Requests))
+	for _, one := range r.Requests {
 		told = append(told, one.Told)
 	}
 	return told
