--- a/bench/measurer/measurer.go
+++ b/bench/measurer/measurer.go
@@ -1,9 +1,9 @@
-// Package measurer works out measures from observations. It does no input or
+// Package measurer computes measures from observations. It does no input or
 // output.
 //
 // # Usage
 //
-//	m := &measurer.Measurer{Deployment: dep, Book: book}
+//	m := &measurer.Measurer{Deployment: dep, Policies: book}
 //	values := m.Measure(observation)
 package measurer
 
@@ -23,36 +23,37 @@
 )
 
 const (
-	// backWindow and backStep are the windows over which a recovery is looked for;
-	// backPart is the part of the level before that counts as recovered.
-	backWindow = 500 * time.Millisecond
-	backStep   = 100 * time.Millisecond
-	backPart   = 0.95
-	// settlePart is the first part of a phase, which goodput leaves out since the
-	// change of load is not yet through the queues.
-	settlePart = 0.2
+	// Recovery is looked for in windows of recoveryWindow, which begin recoveryStep
+	// apart. recoveredFraction is the fraction of the level before the disturbance
+	// that counts as recovered.
+	recoveryWindow    = 500 * time.Millisecond
+	recoveryStep      = 100 * time.Millisecond
+	recoveredFraction = 0.95
+	// transientFraction is the first part of a phase. Goodput leaves it out, since
+	// the queues still hold requests of the load before.
+	transientFraction = 0.2
 )
 
-// Policies tells ranks and shares.
+// Policies looks up the ranks of work and the shares of ranks.
 type Policies interface {
 	Rank(s cassiatally.Service, k cassiatally.WorkKind) cassiatally.Rank
 	Share(r cassiatally.Rank) cassiatally.Share
 }
 
-// Value is the result of one measure in one mode.
+// Value is the result of one measure with one mode.
 type Value struct {
 	Measure ID
 	Mode    observation.Mode
-	// Number is NaN when the measure could not be taken.
+	// Number is NaN when the measure could not be computed.
 	Number float64
 }
 
-// Measurer works out measures.
+// Measurer computes measures for one deployment.
 type Measurer struct {
 	Deployment deployment.Deployment
 	Policies   Policies
-	// Capacity is the measured capacity of the narrow service; 0 when it was not
-	// measured.
+	// Capacity is the measured capacity of the bottleneck service; 0 when it was
+	// not measured.
 	Capacity loadplan.Rate
 }
 
@@ -62,13 +63,13 @@
 	add := func(id ID, n float64) { values = append(values, Value{id, o.Mode, n}) }
 	switch o.Scenario.Name {
 	case scenario.Cost:
-		cost(o.Cost, add)
+		addCostMeasures(o.Cost, add)
 	case scenario.Demand:
-		m.demand(o, add)
+		m.addDemandMeasures(o, add)
 		add(ExecutionsOverload, ExecutionsPerRequest(o.Runs, m.Deployment))
 		add(WasteOverload, m.Waste(o))
 	case scenario.Flood:
-		m.flood(o, add)
+		m.addFloodMeasures(o, add)
 	case scenario.Surge:
 		add(BackSurge, RecoveryTime(o).Seconds())
 		add(StaysSurge, StableRecoveryTime(o).Seconds())
@@ -86,10 +87,10 @@
 	return values
 }
 
-func cost(c *observation.Cost, add func(ID, float64)) {
+func addCostMeasures(c *observation.Cost, add func(ID, float64)) {
 	const kibi = 1 << 10
-	add(AddedP50, millis(c.AddedP50))
-	add(AddedP99, millis(c.AddedP99))
+	add(AddedP50, milliseconds(c.AddedP50))
+	add(AddedP99, milliseconds(c.AddedP99))
 	add(ControlRest, c.Rest.ControlBytesPerSecond/kibi)
 	add(ControlBusy, c.Busy.ControlBytesPerSecond/kibi)
 	add(ProcessorRest, c.Rest.Cores)
@@ -99,7 +100,7 @@
 	add(SheetInForce, c.SheetPropagation.Seconds())
 }
 
-func (m *Measurer) demand(o observation.Observation, add func(ID, float64)) {
+func (m *Measurer) addDemandMeasures(o observation.Observation, add func(ID, float64)) {
 	ids := map[float64]ID{0.8: Goodput08, 1.5: Goodput15, 3: Goodput3, 6: Goodput6}
 	worst := math.Inf(1)
 	for _, multiple := range scenario.DemandMultiples() {
@@ -113,65 +114,66 @@
 	if !math.IsInf(worst, 1) {
 		add(GoodputMeasured, worst)
 	}
-	add(UrgentOverload, m.urgent(o, scenario.DemandPhase(1.5), scenario.DemandPhase(3), scenario.DemandPhase(6)))
+	add(UrgentOverload, m.urgentInTime(o, scenario.DemandPhase(1.5), scenario.DemandPhase(3), scenario.DemandPhase(6)))
 }
 
-func (m *Measurer) flood(o observation.Observation, add func(ID, float64)) {
-	add(UrgentFlood, m.urgent(o, scenario.PhaseFloodLeast))
-	add(OthersFlood, m.others(o))
+func (m *Measurer) addFloodMeasures(o observation.Observation, add func(ID, float64)) {
+	add(UrgentFlood, m.urgentInTime(o, scenario.PhaseFloodLeast))
+	add(OthersFlood, m.othersInTime(o))
 	for i, id := range []ID{ShareRank1, ShareRank2, ShareRank3} {
-		add(id, m.kept(o, cassiatally.Rank(i+1)))
+		add(id, m.keptShare(o, cassiatally.Rank(i+1)))
 	}
 }
 
-// urgent returns the part of the most urgent requests that were completed in
-// time, over the phases in which the demand of that rank alone fits.
-func (m *Measurer) urgent(o observation.Observation, phases ...loadplan.PhaseName) float64 {
+// urgentInTime returns the fraction of the most urgent requests that were completed
+// in time, over the phases in which the demand of that rank alone is below
+// capacity.
+func (m *Measurer) urgentInTime(o observation.Observation, phases ...loadplan.PhaseName) float64 {
 	var tally tally
 	for _, p := range o.Scenario.Phases {
-		if !slices.Contains(phases, p.Name) || m.demandOf(p, 0) >= o.Scenario.Capacity {
+		if !slices.Contains(phases, p.Name) || m.rankDemand(p, 0) >= o.Scenario.Capacity {
 			continue
 		}
 		for _, r := range o.Requests {
-			if r.Phase == string(p.Name) && m.rank(r) == 0 {
+			if r.Phase == string(p.Name) && m.rankOf(r) == 0 {
 				tally.add(r)
 			}
 		}
 	}
-	return tally.part()
+	return tally.fraction()
 }
 
-// others returns the part of the requests of all but the flooding rank that were
-// completed in time while the least urgent work floods.
-func (m *Measurer) others(o observation.Observation) float64 {
+// othersInTime returns the fraction of the requests of all but the flooding rank
+// that were completed in time while the least urgent work floods.
+func (m *Measurer) othersInTime(o observation.Observation) float64 {
 	least := cassiatally.Rank(0)
 	for _, c := range m.Deployment.Classes {
 		least = max(least, m.Policies.Rank(c.Service, c.Kind))
 	}
 	var tally tally
 	for _, r := range o.Requests {
-		if r.Phase == string(scenario.PhaseFloodLeast) && m.rank(r) != least {
+		if r.Phase == string(scenario.PhaseFloodLeast) && m.rankOf(r) != least {
 			tally.add(r)
 		}
 	}
-	return tally.part()
+	return tally.fraction()
 }
 
-// kept returns the goodput of a rank in a flood of the most urgent work over its
-// stated share, or over its demand when that is smaller.
-func (m *Measurer) kept(o observation.Observation, rank cassiatally.Rank) float64 {
+// keptShare returns the goodput of a rank in a flood of the most urgent work,
+// divided by its stated share, or by its demand when that is smaller.
+func (m *Measurer) keptShare(o observation.Observation, rank cassiatally.Rank) float64 {
 	for _, p := range o.Scenario.Phases {
 		if p.Name != scenario.PhaseFloodUrgent {
 			continue
 		}
-		stated := min(loadplan.Rate(m.Policies.Share(rank))*o.Scenario.Capacity, m.demandOf(p, rank))
+		stated := min(loadplan.Rate(m.Policies.Share(rank))*o.Scenario.Capacity, m.rankDemand(p, rank))
 		if stated <= 0 {
 			return math.NaN()
 		}
 		own := o
 		own.Requests = nil
 		for _, r := range o.Requests {
-			if m.rank(r) == rank {
+			if m.rankOf(r) == rank {
 				own.Requests = append(own.Requests, r)
 			}
 		}
@@ -180,7 +182,7 @@
 	return math.NaN()
 }
 
-func (m *Measurer) demandOf(p loadplan.Phase, rank cassiatally.Rank) loadplan.Rate {
+func (m *Measurer) rankDemand(p loadplan.Phase, rank cassiatally.Rank) loadplan.Rate {
 	var sum loadplan.Rate
 	for _, c := range m.Deployment.Classes {
 		if m.Policies.Rank(c.Service, c.Kind) == rank {
@@ -190,15 +192,15 @@
 	return sum
 }
 
-func (m *Measurer) rank(r collector.Result) cassiatally.Rank {
+func (m *Measurer) rankOf(r collector.Result) cassiatally.Rank {
 	return m.Policies.Rank(r.Service, r.Kind)
 }
 
-// Goodput returns the rate at which whole answers arrived in time in a phase,
-// but for its first part, over the capacity.
+// Goodput returns the rate at which complete answers arrived in time in a phase,
+// divided by the capacity. The first part of the phase is left out.
 func Goodput(o observation.Observation, phase loadplan.PhaseName, capacity loadplan.Rate) float64 {
 	from, to := o.Scenario.PhaseSpan(phase)
-	from += time.Duration(float64(to-from) * settlePart)
+	from += time.Duration(float64(to-from) * transientFraction)
 	if to <= from || capacity <= 0 {
 		return math.NaN()
 	}
@@ -212,56 +214,57 @@
 	return float64(n) / (to - from).Seconds() / float64(capacity)
 }
 
-// Back returns the time from the end of a disturbance until requests are
-// completed in time as often as before: in a window that begins then, the part
-// of the requests due that were completed in time is at least 0.95 of that part
-// before. Parts of what was due are compared, and not rates, since a rate over
-// such a short window varies by more than 0.05 by chance. When there is no such
-// window, it returns the time that was observed, which is then a lower bound.
+// RecoveryTime returns the time from the end of a disturbance to the first window
+// in which the fraction of due requests completed in time is at least 0.95 of that
+// fraction before the disturbance. It compares fractions of the due requests and
+// not rates, since a rate over such a short window varies by more than 0.05 by
+// chance. When there is no such window, it returns the whole observed time, which
+// is then a lower bound.
 func RecoveryTime(o observation.Observation) time.Duration {
 	from, to := o.Scenario.PhaseSpan(scenario.PhaseBefore)
-	level := partDue(o, from+time.Duration(float64(to-from)*settlePart), to) * backPart
+	level := fractionInTime(o, from+time.Duration(float64(to-from)*transientFraction), to) * recoveredFraction
 	_, end := o.Scenario.PhaseSpan(scenario.PhaseAfter)
-	for at := o.Scenario.DisturbanceEnd; at+backWindow <= end; at += backStep {
-		if part := partDue(o, at, at+backWindow); part >= level && part > 0 {
+	for at := o.Scenario.DisturbanceEnd; at+recoveryWindow <= end; at += recoveryStep {
+		if part := fractionInTime(o, at, at+recoveryWindow); part >= level && part > 0 {
 			return at - o.Scenario.DisturbanceEnd
 		}
 	}
 	return end - o.Scenario.DisturbanceEnd
 }
 
-// Stays returns the time from the end of a disturbance after which no window of
-// the time that was observed falls below the level that Back looks for. It is
-// longer than Back when the level is reached and lost again, as after the loss
-// of a data centre, whose effect begins late.
+// StableRecoveryTime returns the time from the end of a disturbance after which no
+// observed window falls below the level that RecoveryTime looks for. It is longer
+// than RecoveryTime when the level is reached and lost again, as after the loss of
+// a data centre, whose effect begins late.
 func StableRecoveryTime(o observation.Observation) time.Duration {
 	from, to := o.Scenario.PhaseSpan(scenario.PhaseBefore)
-	level := partDue(o, from+time.Duration(float64(to-from)*settlePart), to) * backPart
+	level := fractionInTime(o, from+time.Duration(float64(to-from)*transientFraction), to) * recoveredFraction
 	_, end := o.Scenario.PhaseSpan(scenario.PhaseAfter)
-	stays := end
-	for at := end - backWindow; at >= o.Scenario.DisturbanceEnd; at -= backStep {
-		if part := partDue(o, at, at+backWindow); part < level || part == 0 {
+	recovered := end
+	for at := end - recoveryWindow; at >= o.Scenario.DisturbanceEnd; at -= recoveryStep {
+		if part := fractionInTime(o, at, at+recoveryWindow); part < level || part == 0 {
 			break
 		}
-		stays = at
+		recovered = at
 	}
-	return stays - o.Scenario.DisturbanceEnd
+	return recovered - o.Scenario.DisturbanceEnd
 }
 
-// partDue returns the part of the requests due in a window that were completed
-// in time.
-func partDue(o observation.Observation, from, to time.Duration) float64 {
+// fractionInTime returns the fraction of the requests due in a window that were
+// completed in time.
+func fractionInTime(o observation.Observation, from, to time.Duration) float64 {
 	var tally tally
 	for _, r := range o.Requests {
 		if due := o.Due(r); due >= from && due < to {
 			tally.add(r)
 		}
 	}
-	return tally.part()
+	return tally.fraction()
 }
 
-// Executions returns the number of runs of the deepest work for each request
-// that reached it. Copies that a caller sent again count as the same request.
+// ExecutionsPerRequest returns the mean number of runs of the deepest kind of work
+// over the requests that reached it. Copies that a caller sent again count as the
+// same request.
 func ExecutionsPerRequest(runs []core.Run, d deployment.Deployment) float64 {
 	roots := make(map[core.RequestID]bool)
 	n := 0
@@ -277,9 +280,9 @@
 	return float64(n) / float64(len(roots))
 }
 
-// Waste returns the part of all work that was done for requests whose callers
-// got no whole answer in time. The work of a run is its time at the narrow
-// service, and elsewhere its time without the wait for onward calls.
+// Waste returns the fraction of all work that was done for requests whose callers
+// got no complete answer in time. The work of a run is its duration at the
+// bottleneck service, and elsewhere its duration without the wait for onward calls.
 func (m *Measurer) Waste(o observation.Observation) float64 {
 	completed := make(map[core.RequestID]bool)
 	for _, r := range o.Requests {
@@ -287,7 +290,7 @@
 	}
 	var all, wasted time.Duration
 	for _, r := range o.Runs {
-		w := m.work(r)
+		w := m.workTime(r)
 		all += w
 		if !completed[r.ID] {
 			wasted += w
@@ -299,7 +302,7 @@
 	return float64(wasted) / float64(all)
 }
 
-func (m *Measurer) work(r core.Run) time.Duration {
+func (m *Measurer) workTime(r core.Run) time.Duration {
 	if r.End.IsZero() {
 		return 0
 	}
@@ -325,11 +328,11 @@
 	}
 }
 
-func (t *tally) part() float64 {
+func (t *tally) fraction() float64 {
 	if t.all == 0 {
 		return math.NaN()
 	}
 	return float64(t.inTime) / float64(t.all)
 }
 
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/bench/measurer/measurer_test.go
+++ b/bench/measurer/measurer_test.go
@@ -19,7 +19,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// policies is a sheet of three ranks with shares.
+// policies stands for a sheet of three ranks, the second and third with shares.
 type policies struct{}
 
 func (policies) Rank(s cassiatally.Service, _ cassiatally.WorkKind) cassiatally.Rank {
@@ -42,15 +42,15 @@
 }
 
 func result(id, phase, service string, at time.Duration, inTime bool) collector.Result {
-	told := core.Told{ID: core.RequestID(id), Phase: phase, Service: cassiatally.Service(service), Kind: "do", InTime: inTime}
+	reported := core.Told{ID: core.RequestID(id), Phase: phase, Service: cassiatally.Service(service), Kind: "do", InTime: inTime}
 	if inTime {
-		told.Status = http.StatusOK
+		reported.Status = http.StatusOK
 	}
-	return collector.Result{Told: told, At: epoch.Add(at)}
+	return collector.Result{Told: reported, At: epoch.Add(at)}
 }
 
-// steady returns a result every 10 ms between two times.
-func steady(phase, service string, from, to time.Duration, inTime bool) []collector.Result {
+// steadyResults returns a result every 10 ms from one time to another.
+func steadyResults(phase, service string, from, to time.Duration, inTime bool) []collector.Result {
 	var all []collector.Result
 	for at := from; at < to; at += 10 * time.Millisecond {
 		all = append(all, result("r", phase, service, at, inTime))
@@ -58,11 +58,11 @@
 	return all
 }
 
-func observe(phases []loadplan.Phase, restored time.Duration, told ...[]collector.Result) observation.Observation {
+func observe(phases []loadplan.Phase, disturbanceEnd time.Duration, results ...[]collector.Result) observation.Observation {
 	o := observation.Observation{Start: epoch, Mode: "adaptive"}
-	o.Scenario = scenario.Scenario{Phases: phases, DisturbanceEnd: restored, Capacity: 100}
-	for _, t := range told {
-		o.Requests = append(o.Requests, t...)
+	o.Scenario = scenario.Scenario{Phases: phases, DisturbanceEnd: disturbanceEnd, Capacity: 100}
+	for _, r := range results {
+		o.Requests = append(o.Requests, r...)
 	}
 	return o
 }
@@ -71,26 +71,26 @@
 	return loadplan.Phase{Name: name, Duration: time.Duration(seconds) * time.Second}
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-6 }
+func approximatelyEqual(a, b float64) bool { return math.Abs(a-b) < 1e-6 }
 
-// TestGoodput guards against answers that are late or outside the phase being
-// counted, and against the settling part of a phase weighing in.
+// TestGoodput guards against goodput that counts late answers, answers outside the
+// phase, or those of its first part, in which queues still adapt to the new load.
 func TestGoodput(t *testing.T) {
 	phases := []loadplan.Phase{phase("warm", 1), phase("x3", 5)}
 	cases := map[string]struct {
-		told []collector.Result
-		want float64
+		results []collector.Result
+		want    float64
 	}{
-		"a full phase at capacity":         {steady("x3", "usual", time.Second, 6*time.Second, true), 1},
-		"answers that are late":            {steady("x3", "usual", time.Second, 6*time.Second, false), 0},
-		"only the settling part":           {steady("x3", "usual", time.Second, 2*time.Second, true), 0},
-		"only the second half of the rest": {steady("x3", "usual", 4*time.Second, 6*time.Second, true), 0.5},
-		"answers after the phase":          {steady("x3", "usual", 6*time.Second, 7*time.Second, true), 0},
+		"a full phase at capacity":         {steadyResults("x3", "usual", time.Second, 6*time.Second, true), 1},
+		"answers that are late":            {steadyResults("x3", "usual", time.Second, 6*time.Second, false), 0},
+		"only the transient part":          {steadyResults("x3", "usual", time.Second, 2*time.Second, true), 0},
+		"only the second half of the rest": {steadyResults("x3", "usual", 4*time.Second, 6*time.Second, true), 0.5},
+		"answers after the phase":          {steadyResults("x3", "usual", 6*time.Second, 7*time.Second, true), 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			is.True(near(Goodput(observe(phases, 0, c.told), "x3", 100), c.want))
+			is.True(approximatelyEqual(Goodput(observe(phases, 0, c.results), "x3", 100), c.want))
 		})
 	}
 	t.Run("a phase that was not run has no goodput", func(t *testing.T) {
@@ -99,15 +99,15 @@
 	})
 }
 
-// TestBack guards against a recovery that is reported too early, while requests
-// still fail, or is reported although there was none.
-func TestBack(t *testing.T) {
+// TestRecoveryTime guards against a recovery that is reported while requests still
+// fail, or although there was none.
+func TestRecoveryTime(t *testing.T) {
 	phases := []loadplan.Phase{phase(scenario.PhaseBefore, 2), phase(scenario.PhaseDisturbed, 2), phase(scenario.PhaseAfter, 4)}
-	before := steady("before", "usual", 0, 2*time.Second, true)
-	disturbed := steady("disturbed", "usual", 2*time.Second, 4*time.Second, false)
+	before := steadyResults("before", "usual", 0, 2*time.Second, true)
+	disturbed := steadyResults("disturbed", "usual", 2*time.Second, 4*time.Second, false)
 	after := func(failing time.Duration) []collector.Result {
 		end := 4*time.Second + failing
-		return append(steady("after", "usual", 4*time.Second, end, false), steady("after", "usual", end, 8*time.Second, true)...)
+		return append(steadyResults("after", "usual", 4*time.Second, end, false), steadyResults("after", "usual", end, 8*time.Second, true)...)
 	}
 	cases := map[string]struct {
 		failing time.Duration
@@ -126,13 +126,13 @@
 	}
 }
 
-// TestStays guards against a level that is lost again being reported as a lasting
-// recovery.
-func TestStays(t *testing.T) {
+// TestStableRecoveryTime guards against reporting a level that is lost again as a
+// lasting recovery.
+func TestStableRecoveryTime(t *testing.T) {
 	phases := []loadplan.Phase{phase(scenario.PhaseBefore, 2), phase(scenario.PhaseAfter, 4)}
-	before := steady("before", "usual", 0, 2*time.Second, true)
+	before := steadyResults("before", "usual", 0, 2*time.Second, true)
 	after := func(from, to time.Duration) []collector.Result {
-		all := steady("after", "usual", 2*time.Second, 6*time.Second, true)
+		all := steadyResults("after", "usual", 2*time.Second, 6*time.Second, true)
 		for i := range all {
 			if at := all[i].At.Sub(epoch); at >= from && at < to {
 				all[i].InTime = false
@@ -157,12 +157,12 @@
 	}
 }
 
-// TestBackCountsFromWhenRequestsWereDue guards against answers to requests of the
-// disturbed time that pass for a recovery when they arrive after it.
-func TestBackCountsFromWhenRequestsWereDue(t *testing.T) {
+// TestRecoveryTimeUsesDueTimes guards against answers to requests of the disturbed
+// phase that count as a recovery because they arrive after it.
+func TestRecoveryTimeUsesDueTimes(t *testing.T) {
 	is := is.New(t)
 	phases := []loadplan.Phase{phase(scenario.PhaseBefore, 2), phase(scenario.PhaseAfter, 2)}
-	o := observe(phases, 2*time.Second, steady("before", "usual", 0, 2*time.Second, true), steady("after", "usual", 2*time.Second, 4*time.Second, true))
+	o := observe(phases, 2*time.Second, steadyResults("before", "usual", 0, 2*time.Second, true), steadyResults("after", "usual", 2*time.Second, 4*time.Second, true))
 	for i := range o.Requests {
 		if o.Requests[i].Phase == "after" {
 			o.Requests[i].LatencyMS = 2000
@@ -175,9 +175,9 @@
 	return core.Run{ID: core.RequestID(id), Service: "narrow", Kind: "deep", Start: epoch, End: epoch.Add(100 * time.Millisecond)}
 }
 
-// TestExecutions guards against copies that callers sent again being counted as
-// requests of their own, which would hide that retries multiply.
-func TestExecutions(t *testing.T) {
+// TestExecutionsPerRequest guards against counting copies that callers sent again
+// as separate requests, which would hide how retries multiply the work.
+func TestExecutionsPerRequest(t *testing.T) {
 	other := deepRun("c")
 	other.Service = "wide"
 	cases := map[string]struct {
@@ -191,78 +191,78 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			is.True(near(ExecutionsPerRequest(c.runs, testDeployment()), c.want))
+			is.True(approximatelyEqual(ExecutionsPerRequest(c.runs, testDeployment()), c.want))
 		})
 	}
-	t.Run("no runs give no measure", func(t *testing.T) {
+	t.Run("no runs give no result", func(t *testing.T) {
 		is := is.New(t)
 		is.True(math.IsNaN(ExecutionsPerRequest(nil, testDeployment())))
 	})
 }
 
-// TestWaste guards against the time in which a run waits for onward calls being
-// counted as work, and against late answers counting as useful.
+// TestWaste guards against counting the time in which a run waits for onward calls
+// as work, and against counting late answers as useful.
 func TestWaste(t *testing.T) {
 	parent := core.Run{ID: "a", Service: "wide", Start: epoch, End: epoch.Add(time.Second)}
 	cases := map[string]struct {
-		told []collector.Result
-		runs []core.Run
-		want float64
+		results []collector.Result
+		runs    []core.Run
+		want    float64
 	}{
-		"all useful":                    {[]collector.Result{result("a", "x3", "usual", 0, true)}, []core.Run{deepRun("a"), parent}, 0},
-		"half wasted":                   {[]collector.Result{result("a", "x3", "usual", 0, true), result("b", "x3", "usual", 0, false)}, []core.Run{deepRun("a"), deepRun("b")}, 0.5},
-		"a parent counts with own time": {[]collector.Result{result("a", "x3", "usual", 0, false), result("b", "x3", "usual", 0, true)}, []core.Run{parent, deepRun("b")}, 10.0 / 110},
-		"a run that did not end":        {[]collector.Result{result("a", "x3", "usual", 0, true)}, []core.Run{deepRun("a"), {ID: "b", Service: "narrow", Start: epoch}}, 0},
+		"all useful":                   {[]collector.Result{result("a", "x3", "usual", 0, true)}, []core.Run{deepRun("a"), parent}, 0},
+		"half wasted":                  {[]collector.Result{result("a", "x3", "usual", 0, true), result("b", "x3", "usual", 0, false)}, []core.Run{deepRun("a"), deepRun("b")}, 0.5},
+		"a parent without its waiting": {[]collector.Result{result("a", "x3", "usual", 0, false), result("b", "x3", "usual", 0, true)}, []core.Run{parent, deepRun("b")}, 10.0 / 110},
+		"a run that did not end":       {[]collector.Result{result("a", "x3", "usual", 0, true)}, []core.Run{deepRun("a"), {ID: "b", Service: "narrow", Start: epoch}}, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			m := &Measurer{Deployment: testDeployment(), Policies: policies{}}
-			o := observe(nil, 0, c.told)
+			o := observe(nil, 0, c.results)
 			o.Runs = c.runs
-			is.True(near(m.Waste(o), c.want))
+			is.True(approximatelyEqual(m.Waste(o), c.want))
 		})
 	}
 }
 
-// TestUrgent guards against less urgent requests, or phases in which urgent
-// demand alone exceeds capacity, weighing in the part of urgent requests.
-func TestUrgent(t *testing.T) {
+// TestUrgentInTime guards against counting less urgent requests, or phases in which
+// urgent demand alone exceeds capacity, in the fraction of urgent requests in time.
+func TestUrgentInTime(t *testing.T) {
 	fits := phase("x1.5", 1)
 	fits.Rates = map[loadplan.ClassName]loadplan.Rate{"urgent": 90}
 	exceeds := phase("x6", 1)
 	exceeds.Rates = map[loadplan.ClassName]loadplan.Rate{"urgent": 110}
 	o := observe([]loadplan.Phase{fits, exceeds}, 0,
-		steady("x1.5", "urgent", 0, 900*time.Millisecond, true), steady("x1.5", "urgent", 0, 100*time.Millisecond, false),
-		steady("x1.5", "usual", 0, time.Second, false), steady("x6", "urgent", time.Second, 2*time.Second, false))
+		steadyResults("x1.5", "urgent", 0, 900*time.Millisecond, true), steadyResults("x1.5", "urgent", 0, 100*time.Millisecond, false),
+		steadyResults("x1.5", "usual", 0, time.Second, false), steadyResults("x6", "urgent", time.Second, 2*time.Second, false))
 	is := is.New(t)
 	m := &Measurer{Deployment: testDeployment(), Policies: policies{}}
-	is.True(near(m.urgent(o, "x1.5", "x6"), 0.9))
+	is.True(approximatelyEqual(m.urgentInTime(o, "x1.5", "x6"), 0.9))
 }
 
-// TestKept guards against a share that is measured against more than its rank
-// asked for, and against goodput of other ranks counting for it.
-func TestKept(t *testing.T) {
+// TestKeptShare guards against comparing the goodput of a rank with more than its
+// demand, and against counting goodput of other ranks for it.
+func TestKeptShare(t *testing.T) {
 	flood := phase(scenario.PhaseFloodUrgent, 5)
 	flood.Rates = map[loadplan.ClassName]loadplan.Rate{"urgent": 400, "usual": 40, "least": 5}
-	told := [][]collector.Result{
-		steady("flood_urgent", "urgent", 0, 5*time.Second, true),
-		// 10 a second of rank 1, whose stated share is 20 a second.
+	results := [][]collector.Result{
+		steadyResults("flood_urgent", "urgent", 0, 5*time.Second, true),
+		// Rank 1 gets 10 a second; its stated share is 20 a second.
 		{},
 	}
 	for at := time.Duration(0); at < 5*time.Second; at += 100 * time.Millisecond {
-		told[1] = append(told[1], result("u", "flood_urgent", "usual", at, true))
+		results[1] = append(results[1], result("u", "flood_urgent", "usual", at, true))
 	}
-	o := observe([]loadplan.Phase{flood}, 0, told...)
+	o := observe([]loadplan.Phase{flood}, 0, results...)
 	m := &Measurer{Deployment: testDeployment(), Policies: policies{}}
 	is := is.New(t)
-	is.True(near(m.kept(o, 1), 0.5))
-	is.True(near(m.kept(o, 2), 0))
-	is.True(math.IsNaN(m.kept(o, 3)))
+	is.True(approximatelyEqual(m.keptShare(o, 1), 0.5))
+	is.True(approximatelyEqual(m.keptShare(o, 2), 0))
+	is.True(math.IsNaN(m.keptShare(o, 3)))
 }
 
-// TestMet guards against a verdict on the wrong side of a target and against a
-// missing result that passes.
+// TestMet guards against comparing a result with the wrong side of a target and
+// against a missing result that passes.
 func TestMet(t *testing.T) {
 	cases := map[string]struct {
 		bound  Bound
--- a/bench/measurer/targets.go
+++ b/bench/measurer/targets.go
@@ -40,12 +40,12 @@
 	SheetInForce       ID = "sheet_in_force"
 )
 
-// Bound tells on which side of a target a result has to be.
+// Bound is the side of a target on which a result has to be.
 type Bound uint8
 
 // The bounds.
 const (
-	// NoTarget marks measures that are printed for information.
+	// NoTarget marks measures that are only printed for information.
 	NoTarget Bound = iota
 	AtLeast
 	AtMost
@@ -61,8 +61,7 @@
 	Target float64
 }
 
-// Met reports whether a result meets the target. A result that is missing does
-// not.
+// Met reports whether a result meets the target. A missing result (NaN) does not.
 func (d Definition) Met(n float64) bool {
 	switch {
 	case math.IsNaN(n):
@@ -76,17 +75,17 @@
 }
 
 const (
-	goodputTarget    = 0.95
-	urgentTarget     = 0.999
-	shareTarget      = 0.95
-	backTarget       = 2
-	executionsTarget = 1.10
-	wasteTarget      = 0.03
-	addedTarget      = 1.7
-	controlTarget    = 16
-	processorTarget  = 0.012
-	memoryTarget     = 64
-	sheetTarget      = 2
+	goodputTarget             = 0.95
+	urgentTarget              = 0.999
+	shareTarget               = 0.95
+	recoveryTargetSeconds     = 2
+	executionsTarget          = 1.10
+	wasteTarget               = 0.03
+	addedTargetMS             = 1.7
+	controlTargetKiBPerSecond = 16
+	processorTargetCores      = 0.012
+	memoryTargetMiB           = 64
+	sheetTargetSeconds        = 2
 )
 
 // Definitions returns all measures in the order in which they are printed.
@@ -104,8 +103,8 @@
 		{ShareRank1, "share kept by rank 1 over the stated one, flood of the most urgent", "", AtLeast, shareTarget},
 		{ShareRank2, "share kept by rank 2 over the stated one, flood of the most urgent", "", AtLeast, shareTarget},
 		{ShareRank3, "share kept by rank 3 over the stated one, flood of the most urgent", "", AtLeast, shareTarget},
-		{BackSurge, "time back at 95% after a surge", "s", AtMost, backTarget},
-		{BackSlow, "time back at 95% after a slow-down", "s", AtMost, backTarget},
+		{BackSurge, "time back at 95% after a surge", "s", AtMost, recoveryTargetSeconds},
+		{BackSlow, "time back at 95% after a slow-down", "s", AtMost, recoveryTargetSeconds},
 		{BackLost, "time back at 95% after a data centre is lost", "s", NoTarget, 0},
 		{StaysSurge, "time until it stays at 95% after a surge", "s", NoTarget, 0},
 		{StaysSlow, "time until it stays at 95% after a slow-down", "s", NoTarget, 0},
@@ -115,13 +114,13 @@
 		{WasteOverload, "work for failed requests over all work, demand", "", AtMost, wasteTarget},
 		{WasteSlow, "work for failed requests over all work, slow-down", "", AtMost, wasteTarget},
 		{AddedP50, "time added by two nodes at 0.5 load, p50", "ms", NoTarget, 0},
-		{AddedP99, "time added by two nodes at 0.5 load, p99", "ms", AtMost, addedTarget},
-		{ControlRest, "control traffic of a node at rest", "KiB/s", AtMost, controlTarget},
-		{ControlBusy, "control traffic of a node at 0.5 load", "KiB/s", AtMost, controlTarget},
-		{ProcessorRest, "processor of a node at rest, part of a core", "", AtMost, processorTarget},
+		{AddedP99, "time added by two nodes at 0.5 load, p99", "ms", AtMost, addedTargetMS},
+		{ControlRest, "control traffic of a node at rest", "KiB/s", AtMost, controlTargetKiBPerSecond},
+		{ControlBusy, "control traffic of a node at 0.5 load", "KiB/s", AtMost, controlTargetKiBPerSecond},
+		{ProcessorRest, "processor of a node at rest, part of a core", "", AtMost, processorTargetCores},
 		{ProcessorBusy, "processor of a node at 0.5 load, requests included", "", NoTarget, 0},
-		{MemoryRest, "resident memory of a node at rest", "MiB", AtMost, memoryTarget},
-		{MemoryBusy, "resident memory of a node at 0.5 load", "MiB", AtMost, memoryTarget},
-		{SheetInForce, "time until a sheet is in force on all nodes", "s", AtMost, sheetTarget},
+		{MemoryRest, "resident memory of a node at rest", "MiB", AtMost, memoryTargetMiB},
+		{MemoryBusy, "resident memory of a node at 0.5 load", "MiB", AtMost, memoryTargetMiB},
+		{SheetInForce, "time until a sheet is in force on all nodes", "s", AtMost, sheetTargetSeconds},
 	}
 }
