--- a/bench/scenario/scenario.go
+++ b/bench/scenario/scenario.go
@@ -1,4 +1,4 @@
-// Package scenario has the loads and disturbances that experiments run.
+// Package scenario defines the loads and disturbances that experiments run.
 //
 // # Usage
 //
@@ -35,7 +35,7 @@
 
 // The phases that measures refer to.
 const (
-	PhaseWarmUp      loadplan.PhaseName = "warm"
+	PhaseWarm        loadplan.PhaseName = "warm"
 	PhaseCooldown    loadplan.PhaseName = "rest"
 	PhaseBefore      loadplan.PhaseName = "before"
 	PhaseDisturbed   loadplan.PhaseName = "disturbed"
@@ -45,13 +45,14 @@
 	PhaseUnequal     loadplan.PhaseName = "unequal"
 )
 
-// Loads in multiples of the capacity of the narrow service.
+// Loads in multiples of the capacity of the bottleneck service.
 const (
 	warmLoad    = 0.3
 	steadyLoad  = 0.7
 	surgeLoad   = 3
 	unequalLoad = 1.5
-	// lostLoad still fits when one of four data centres is lost.
+	// lostLoad is below the capacity that is left when one of four data centres is
+	// lost.
 	lostLoad = 0.6
 	// floodLoad is the load of the class that floods, otherLoad that of each other
 	// class during a flood of the most urgent work.
@@ -62,28 +63,31 @@
 )
 
 const (
-	warmTime = 3 * time.Second
-	restTime = 2 * time.Second
-	// afterTime is the time beyond a phase in which a recovery is looked for.
-	afterTime = 3 * time.Second
+	warmTime     = 3 * time.Second
+	cooldownTime = 2 * time.Second
+	// extraAfterTime lengthens the phase after a disturbance, in which a recovery is
+	// looked for.
+	extraAfterTime = 3 * time.Second
 )
 
-// Multiples returns the loads of the demand scenario.
+// DemandMultiples returns the loads of the demand scenario in multiples of the
+// capacity.
 func DemandMultiples() []float64 { return []float64{0.8, 1.5, 3, 6} }
 
-// DemandPhase returns the phase of a load of the demand scenario.
+// DemandPhase returns the name of the phase for a load of the demand scenario.
 func DemandPhase(multiple float64) loadplan.PhaseName {
 	return loadplan.PhaseName(fmt.Sprintf("x%g", multiple))
 }
 
-// unequalFactors multiply the service times of the narrow service's endpoints.
+// unequalFactors returns the factors by which the service times of the bottleneck
+// service's endpoints are multiplied.
 func unequalFactors() []float64 { return []float64{0.5, 0.75, 1.5, 2} }
 
 // Names returns all scenarios in the order in which they run. The one that loses
-// a data centre is last, since a fleet does not get it back.
+// a data centre is last, since the lost processes are not started again.
 func Names() []Name { return []Name{Cost, Demand, Flood, Surge, Slow, Unequal, Lost} }
 
-// Event is a disturbance at a time since the start of the load.
+// Event is a change to the fleet, made at a time since the start of the load.
 type Event struct {
 	At time.Duration
 	Do func(ctx context.Context, f *deployer.Fleet) error
@@ -94,13 +98,15 @@
 	Name   Name
 	Phases []loadplan.Phase
 	Events []Event
-	// Restored is the time since the start at which the disturbance ends.
+	// DisturbanceEnd is the time since the start at which the disturbance ends.
+	// Recovery is measured from then on.
 	DisturbanceEnd time.Duration
-	// Capacity is the capacity of the narrow service in the measured phases.
+	// Capacity is the capacity of the bottleneck service in the measured phases.
 	Capacity loadplan.Rate
 }
 
-// Offset returns when a phase begins and ends, since the start.
+// PhaseSpan returns when a phase begins and ends, since the start; zeros for a
+// phase that the scenario does not have.
 func (s Scenario) PhaseSpan(name loadplan.PhaseName) (from, to time.Duration) {
 	for _, p := range s.Phases {
 		to = from + p.Duration
@@ -117,31 +123,32 @@
 	Deployment deployment.Deployment
 	// Length is the length of a phase.
 	Length time.Duration
-	// Quick shortens the phases before and between measured ones.
+	// Quick shortens the phases around the measured ones and leaves out some loads of
+	// the demand scenario.
 	Quick bool
-	// Urgent and Least are the classes that flood.
+	// Urgent and Least are the classes that flood the fleet in the flood scenario.
 	Urgent loadplan.ClassName
 	Least  loadplan.ClassName
 }
 
-// Named returns a scenario.
+// Named returns the scenario with the name.
 func (c Catalogue) Named(n Name) (Scenario, error) {
 	s := Scenario{Name: n, Capacity: c.Deployment.Capacity()}
 	switch n {
 	case Cost:
-		// The cost meter drives this one by itself.
+		// The cost meter generates the load of this scenario itself.
 	case Demand:
-		c.demand(&s)
+		c.buildDemand(&s)
 	case Flood:
-		c.flood(&s)
+		c.buildFlood(&s)
 	case Surge:
-		c.disturbance(&s, surgeLoad, steadyLoad)
+		c.buildDisturbance(&s, surgeLoad, steadyLoad)
 	case Slow:
-		c.slow(&s)
+		c.buildSlow(&s)
 	case Unequal:
-		c.unequal(&s)
+		c.buildUnequal(&s)
 	case Lost:
-		c.lost(&s)
+		c.buildLost(&s)
 	default:
 		return s, errors.Newf("%q is no scenario; there are %v", n, Names())
 	}
@@ -152,14 +159,15 @@
 	return loadplan.Phase{Name: n, Duration: d, Rates: c.Deployment.MixedRates(load)}
 }
 
-func (c Catalogue) warm() loadplan.Phase { return c.phase(PhaseWarmUp, c.short(warmTime), warmLoad) }
+func (c Catalogue) warm() loadplan.Phase { return c.phase(PhaseWarm, c.short(warmTime), warmLoad) }
 
-// rest returns a pause after the measured phase of the name. Phases differ in
-// name, since ids of requests hold it.
-func (c Catalogue) rest(after loadplan.PhaseName) loadplan.Phase {
-	return c.phase(PhaseCooldown+"_"+after, c.short(restTime), warmLoad)
+// cooldown returns a phase of low load after the measured phase of the name. Its
+// name has to be unique, since ids of requests contain the name of their phase.
+func (c Catalogue) cooldown(after loadplan.PhaseName) loadplan.Phase {
+	return c.phase(PhaseCooldown+"_"+after, c.short(cooldownTime), warmLoad)
 }
 
+// short halves a duration in the quick profile.
 func (c Catalogue) short(d time.Duration) time.Duration {
 	if c.Quick {
 		return d / 2
@@ -167,8 +175,8 @@
 	return d
 }
 
-// multiples leaves out loads to save time in the quick profile.
-func (c Catalogue) multiples() []float64 {
+// demandMultiples leaves out loads to save time in the quick profile.
+func (c Catalogue) demandMultiples() []float64 {
 	all := DemandMultiples()
 	if c.Quick {
 		return []float64{all[1], all[len(all)-1]}
@@ -176,15 +184,15 @@
 	return all
 }
 
-func (c Catalogue) demand(s *Scenario) {
+func (c Catalogue) buildDemand(s *Scenario) {
 	s.Phases = append(s.Phases, c.warm())
-	for _, m := range c.multiples() {
+	for _, m := range c.demandMultiples() {
 		p := c.phase(DemandPhase(m), c.Length, m)
-		s.Phases = append(s.Phases, p, c.rest(p.Name))
+		s.Phases = append(s.Phases, p, c.cooldown(p.Name))
 	}
 }
 
-func (c Catalogue) flood(s *Scenario) {
+func (c Catalogue) buildFlood(s *Scenario) {
 	capacity := c.Deployment.Capacity()
 	least := c.phase(PhaseFloodLeast, c.Length, steadyLoad)
 	least.Rates[c.Least] += floodLoad * capacity
@@ -193,30 +201,30 @@
 		urgent.Rates[class.Name] = otherLoad * capacity
 	}
 	urgent.Rates[c.Urgent] = floodLoad * capacity
-	s.Phases = []loadplan.Phase{c.warm(), least, c.rest(least.Name), urgent}
+	s.Phases = []loadplan.Phase{c.warm(), least, c.cooldown(least.Name), urgent}
 }
 
-func (c Catalogue) disturbance(s *Scenario, disturbed, steady float64) {
+func (c Catalogue) buildDisturbance(s *Scenario, disturbed, steady float64) {
 	s.Phases = []loadplan.Phase{
 		c.warm(),
 		c.phase(PhaseBefore, c.Length, steady),
 		c.phase(PhaseDisturbed, c.Length, disturbed),
-		c.phase(PhaseAfter, c.Length+c.short(afterTime), steady),
+		c.phase(PhaseAfter, c.Length+c.short(extraAfterTime), steady),
 	}
 	_, s.DisturbanceEnd = s.PhaseSpan(PhaseDisturbed)
 }
 
-func (c Catalogue) slow(s *Scenario) {
-	c.disturbance(s, steadyLoad, steadyLoad)
+func (c Catalogue) buildSlow(s *Scenario) {
+	c.buildDisturbance(s, steadyLoad, steadyLoad)
 	begin, end := s.PhaseSpan(PhaseDisturbed)
-	narrow := c.Deployment.BottleneckService()
+	bottleneck := c.Deployment.BottleneckService()
 	s.Events = []Event{
-		{At: begin, Do: setAll(narrow, slowFactor*narrow.ServiceTime)},
-		{At: end, Do: setAll(narrow, narrow.ServiceTime)},
+		{At: begin, Do: setServiceTimes(bottleneck, slowFactor*bottleneck.ServiceTime)},
+		{At: end, Do: setServiceTimes(bottleneck, bottleneck.ServiceTime)},
 	}
 }
 
-func setAll(s deployment.Service, d time.Duration) func(context.Context, *deployer.Fleet) error {
+func setServiceTimes(s deployment.Service, d time.Duration) func(context.Context, *deployer.Fleet) error {
 	return func(ctx context.Context, f *deployer.Fleet) error {
 		var err error
 		for _, e := range f.EndpointsOf(s.Name) {
@@ -226,26 +234,26 @@
 	}
 }
 
-func (c Catalogue) unequal(s *Scenario) {
-	narrow := c.Deployment.BottleneckService()
+func (c Catalogue) buildUnequal(s *Scenario) {
+	bottleneck := c.Deployment.BottleneckService()
 	s.Capacity = 0
 	for _, factor := range unequalFactors() {
-		s.Capacity += loadplan.Rate(float64(narrow.Slots) / (narrow.ServiceTime.Seconds() * factor))
+		s.Capacity += loadplan.Rate(float64(bottleneck.Slots) / (bottleneck.ServiceTime.Seconds() * factor))
 	}
-	part := float64(s.Capacity / c.Deployment.Capacity())
+	ratio := float64(s.Capacity / c.Deployment.Capacity())
 	s.Phases = []loadplan.Phase{
 		c.warm(),
-		c.phase(PhaseBefore, c.Length, steadyLoad*part),
-		c.phase(PhaseUnequal, c.Length, unequalLoad*part),
+		c.phase(PhaseBefore, c.Length, steadyLoad*ratio),
+		c.phase(PhaseUnequal, c.Length, unequalLoad*ratio),
 	}
 	_, end := s.PhaseSpan(PhaseUnequal)
 	s.Events = []Event{
-		{At: 0, Do: func(ctx context.Context, f *deployer.Fleet) error { return setUnequal(ctx, f, narrow) }},
-		{At: end, Do: setAll(narrow, narrow.ServiceTime)},
+		{At: 0, Do: func(ctx context.Context, f *deployer.Fleet) error { return setUnequalTimes(ctx, f, bottleneck) }},
+		{At: end, Do: setServiceTimes(bottleneck, bottleneck.ServiceTime)},
 	}
 }
 
-func setUnequal(ctx context.Context, f *deployer.Fleet, s deployment.Service) error {
+func setUnequalTimes(ctx context.Context, f *deployer.Fleet, s deployment.Service) error {
 	var err error
 	for i, e := range f.EndpointsOf(s.Name) {
 		d := time.Duration(float64(s.ServiceTime) * unequalFactors()[i])
@@ -254,18 +262,18 @@
 	return err
 }
 
-// lost kills the last data centre. Recovery is looked for from that time on.
-func (c Catalogue) lost(s *Scenario) {
+// buildLost kills the last data centre. Recovery is measured from that time on.
+func (c Catalogue) buildLost(s *Scenario) {
 	s.Phases = []loadplan.Phase{
 		c.warm(),
 		c.phase(PhaseBefore, c.Length, lostLoad),
-		c.phase(PhaseAfter, c.Length+c.short(afterTime), lostLoad),
+		c.phase(PhaseAfter, c.Length+c.short(extraAfterTime), lostLoad),
 	}
 	_, s.DisturbanceEnd = s.PhaseSpan(PhaseBefore)
-	s.Events = []Event{{At: s.DisturbanceEnd, Do: killLast}}
+	s.Events = []Event{{At: s.DisturbanceEnd, Do: killLastDataCentre}}
 }
 
-func killLast(_ context.Context, f *deployer.Fleet) error {
+func killLastDataCentre(_ context.Context, f *deployer.Fleet) error {
 	dc := lastDataCentre(f)
 	for _, e := range f.Endpoints {
 		if e.DataCentre == dc {
--- a/bench/scenario/scenario_test.go
+++ b/bench/scenario/scenario_test.go
@@ -19,7 +19,7 @@
 	return Catalogue{Deployment: d.AllThroughBottleneck(time.Second), Length: 5 * time.Second, Urgent: "confirm", Least: "report"}
 }
 
-func total(p loadplan.Phase) loadplan.Rate {
+func totalRate(p loadplan.Phase) loadplan.Rate {
 	var sum loadplan.Rate
 	for _, r := range p.Rates {
 		sum += r
@@ -27,9 +27,9 @@
 	return sum
 }
 
-// TestPhasesDiffer guards against two phases of a scenario with one name, whose
-// requests would have equal ids, which the runs could not be told apart by.
-func TestPhasesDiffer(t *testing.T) {
+// TestPhaseNamesAreUnique guards against two phases of a scenario with one name:
+// their requests would have equal ids, so their runs could not be distinguished.
+func TestPhaseNamesAreUnique(t *testing.T) {
 	for _, n := range Names() {
 		t.Run(string(n), func(t *testing.T) {
 			is := is.New(t)
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestDisturbancesEndWhereRecoveryIsMeasured guards against a recovery that is
-// measured from another time than the end of the disturbance.
+// TestDisturbancesEndWhereRecoveryIsMeasured guards against measuring recovery from
+// another time than the end of the disturbance.
 func TestDisturbancesEndWhereRecoveryIsMeasured(t *testing.T) {
 	for _, n := range []Name{Surge, Slow, Lost} {
 		t.Run(string(n), func(t *testing.T) {
@@ -61,7 +61,8 @@
 	}
 }
 
-// TestLoads guards against phases whose load is not the stated one.
+// TestLoads guards against phases whose load or capacity differs from the stated
+// one.
 func TestLoads(t *testing.T) {
 	is := is.New(t)
 	c := catalogue(t)
@@ -70,18 +71,18 @@
 	for _, m := range DemandMultiples() {
 		for _, p := range s.Phases {
 			if p.Name == DemandPhase(m) {
-				is.True(total(p)/c.Deployment.Capacity() > loadplan.Rate(m)-0.01)
-				is.True(total(p)/c.Deployment.Capacity() < loadplan.Rate(m)+0.01)
+				is.True(totalRate(p)/c.Deployment.Capacity() > loadplan.Rate(m)-0.01)
+				is.True(totalRate(p)/c.Deployment.Capacity() < loadplan.Rate(m)+0.01)
 			}
 		}
 	}
 	s, err = c.Named(Unequal)
 	is.NoErr(err)
-	// 15 slots at 100, 150, 300 and 400 ms a request.
+	// Four endpoints of 15 slots, at 100, 150, 300 and 400 ms a request.
 	is.Equal(int(s.Capacity), 337)
 }
 
-// TestUnknownScenario guards against a misspelt name that runs nothing.
+// TestUnknownScenario guards against a misspelt name that silently runs nothing.
 func TestUnknownScenario(t *testing.T) {
 	is := is.New(t)
 	_, err := catalogue(t).Named("tide")
