--- a/bench/scorecard/scorecard.go
+++ b/bench/scorecard/scorecard.go
@@ -1,5 +1,5 @@
-// Package scorecard lays out the results of all modes beside the targets, as
-// text and as CSV.
+// Package scorecard prints the results of all modes beside the targets, as text
+// and as CSV.
 //
 // # Usage
 //
@@ -23,25 +23,26 @@
 )
 
 const (
-	notRun = "not run"
-	none   = "-"
+	notRun        = "not run"
+	notApplicable = "-"
 )
 
-// Card has one row for each measure and one column for each mode.
+// Card is a table with one row for each measure and one column for each mode.
 type Card struct {
 	Modes []observation.Mode
 
 	values []measurer.Value
 }
 
-// Add adds results.
+// Add adds results. When a measure has several for one mode, the last one counts.
 func (c *Card) Add(values []measurer.Value) { c.values = append(c.values, values...) }
 
-// Text writes a table. Each result is followed by whether it meets the target.
+// Text writes a table. Each result is followed by "met" or "missed" when its
+// measure has a target.
 func (c *Card) Text(w io.Writer) error {
-	t := tabler.Table{Header: append([]string{"measure", "target"}, c.header()...)}
+	t := tabler.Table{Header: append([]string{"measure", "target"}, c.modeNames()...)}
 	for _, d := range measurer.Definitions() {
-		row := []string{title(d), target(d)}
+		row := []string{formatTitle(d), formatTarget(d)}
 		for _, m := range c.Modes {
 			row = append(row, c.cell(d, m))
 		}
@@ -57,13 +58,13 @@
 	for _, d := range measurer.Definitions() {
 		for _, m := range c.Modes {
 			n := c.number(d.ID, m)
-			rows = append(rows, []string{string(d.ID), d.Title, d.Unit, target(d), string(m), format(n), verdict(d, n)})
+			rows = append(rows, []string{string(d.ID), d.Title, d.Unit, formatTarget(d), string(m), formatNumber(n), targetResult(d, n)})
 		}
 	}
 	return errors.Wrap(out.WriteAll(rows), "writing the results")
 }
 
-func (c *Card) header() []string {
+func (c *Card) modeNames() []string {
 	names := make([]string, 0, len(c.Modes))
 	for _, m := range c.Modes {
 		names = append(names, string(m))
@@ -74,9 +75,9 @@
 func (c *Card) cell(d measurer.Definition, m observation.Mode) string {
 	n := c.number(d.ID, m)
 	if math.IsNaN(n) || d.Bound == measurer.NoTarget {
-		return format(n)
+		return formatNumber(n)
 	}
-	return format(n) + " " + verdict(d, n)
+	return formatNumber(n) + " " + targetResult(d, n)
 }
 
 // number returns the last result of a measure, or NaN.
@@ -90,14 +91,14 @@
 	return n
 }
 
-func title(d measurer.Definition) string {
+func formatTitle(d measurer.Definition) string {
 	if d.Unit == "" {
 		return d.Title
 	}
 	return fmt.Sprintf("%s [%s]", d.Title, d.Unit)
 }
 
-func target(d measurer.Definition) string {
+func formatTarget(d measurer.Definition) string {
 	number := strconv.FormatFloat(d.Target, 'g', -1, 64)
 	switch d.Bound {
 	case measurer.AtLeast:
@@ -105,22 +106,22 @@
 	case measurer.AtMost:
 		return "<= " + number
 	}
-	return none
+	return notApplicable
 }
 
-func verdict(d measurer.Definition, n float64) string {
+func targetResult(d measurer.Definition, n float64) string {
 	switch {
 	case math.IsNaN(n):
 		return notRun
 	case d.Bound == measurer.NoTarget:
-		return none
+		return notApplicable
 	case d.Met(n):
 		return "met"
 	}
 	return "missed"
 }
 
-func format(n float64) string {
+func formatNumber(n float64) string {
 	if math.IsNaN(n) {
 		return notRun
 	}
--- a/bench/scorecard/scorecard_test.go
+++ b/bench/scorecard/scorecard_test.go
@@ -11,9 +11,9 @@
 	"github.com/cassiatally/cassiatally/bench/observation"
 )
 
-// TestVerdicts guards against a measure that was not run being printed as met,
-// and against results in the column of another mode.
-func TestVerdicts(t *testing.T) {
+// TestTargetResults guards against printing a measure that was not run as met, and
+// against results in the column of another mode.
+func TestTargetResults(t *testing.T) {
 	c := &Card{Modes: []observation.Mode{"off", "adaptive"}}
 	c.Add([]measurer.Value{
 		{Measure: measurer.Goodput3, Mode: "adaptive", Number: 0.97},
@@ -28,10 +28,10 @@
 		t.Fatal(err)
 	}
 	cases := map[string]struct{ in, want string }{
-		"met in the own column":    {csv.String(), "goodput_3,\"goodput at 3 times capacity, over capacity\",,>= 0.95,adaptive,0.9700,met"},
-		"missed in the other":      {csv.String(), "goodput_3,\"goodput at 3 times capacity, over capacity\",,>= 0.95,off,0.5000,missed"},
-		"not run has no verdict":   {csv.String(), "back_surge,time back at 95% after a surge,s,<= 2,off,not run,not run"},
-		"text has result and word": {text.String(), "0.9700 met"},
+		"met in its own column":           {csv.String(), "goodput_3,\"goodput at 3 times capacity, over capacity\",,>= 0.95,adaptive,0.9700,met"},
+		"missed in the other":             {csv.String(), "goodput_3,\"goodput at 3 times capacity, over capacity\",,>= 0.95,off,0.5000,missed"},
+		"not run, neither met nor missed": {csv.String(), "back_surge,time back at 95% after a surge,s,<= 2,off,not run,not run"},
+		"text has number and result":      {text.String(), "0.9700 met"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
