--- a/bench/observation/observation.go
+++ b/bench/observation/observation.go
@@ -1,9 +1,9 @@
-// Package observation holds what was seen in one scenario with one control mode.
-// It takes no decisions; measurer works out the measures.
+// Package observation holds the raw data recorded in one scenario with one control
+// mode. Package measurer computes the measures from it.
 //
 // # Usage
 //
-//	o := observation.Observation{Mode: "adaptive", Scenario: s, Results: results}
+//	o := observation.Observation{Mode: "adaptive", Scenario: s, Requests: results}
 package observation
 
 import (
@@ -20,53 +20,54 @@
 // Mode names a column of the results: a control mode, or the previous release.
 type Mode string
 
-// Observation is what was seen in one scenario with one mode.
+// Observation is the raw data of one scenario with one mode.
 type Observation struct {
 	Mode     Mode
 	Scenario scenario.Scenario
 	Start    time.Time
+	// Requests has the result of each request that ended.
 	Requests []collector.Result
 	// Unsent counts requests that the load could not send in time.
 	Unsent int
-	// Runs are the executions at backend servers that are still alive.
+	// Runs are the executions recorded by the backend servers that are still alive.
 	Runs []core.Run
-	// Load is the load average when the scenario began.
+	// LoadAverage is that of the machine when the scenario began.
 	LoadAverage machine.LoadAverage
 	// Cost is set for the cost scenario only.
 	Cost *Cost
 }
 
-// Cost is what a node costs, at rest and at half load.
+// Cost is the overhead of nodes, at rest and at half load.
 type Cost struct {
-	// Capacity is that of the narrow service, measured by a saturating direct run.
+	// Capacity is that of the bottleneck service, measured by a saturating run that
+	// calls its backend servers directly.
 	Capacity loadplan.Rate
-	// AddedP50 and AddedP99 are the latency through two nodes less that of direct
-	// calls in the same time.
+	// AddedP50 and AddedP99 are the latency through two nodes minus that of direct
+	// calls at the same time.
 	AddedP50 time.Duration
 	AddedP99 time.Duration
-	// Sheet is the time from the acceptance of a sheet until it is in force on all
-	// nodes.
+	// SheetPropagation is the time from the acceptance of a sheet until it is in
+	// force on all nodes.
 	SheetPropagation time.Duration
 	Rest             Usage
 	Busy             Usage
 }
 
-// Usage is the use of the node that uses most.
+// Usage has the highest value of any node for each resource.
 type Usage struct {
-	// Processor is the part of one core.
-	Cores float64
-	// Resident is the resident memory in bytes.
+	// Cores is the processor time used, in cores.
+	Cores         float64
 	ResidentBytes float64
-	// Control is the control traffic, sent and received, in bytes a second.
+	// ControlBytesPerSecond is the control traffic, sent and received.
 	ControlBytesPerSecond float64
 }
 
-// Due returns when a request was due, since the start.
+// Due returns when a request was due to be sent, since the start.
 func (o Observation) Due(r collector.Result) time.Duration {
 	return r.At.Sub(o.Start) - time.Duration(r.LatencyMS*float64(time.Millisecond))
 }
 
-// Own reports whether a run belongs to the load of the scenario.
+// BelongsTo reports whether a run belongs to the load of the scenario.
 func BelongsTo(r core.Run, name scenario.Name) bool {
 	return strings.HasPrefix(string(r.ID), string(name)+"-")
 }
