--- a/bench/ranktable/ranktable.go
+++ b/bench/ranktable/ranktable.go
@@ -1,9 +1,9 @@
-// Package ranktable counts the results of a trial by rank.
+// Package ranktable counts the results of a trial by phase and rank.
 //
 // # Usage
 //
 //	t := ranktable.New(book)
-//	t.Add(told)
+//	t.Add(reported)
 //	t.AddRuns(runs)
 //	err := t.Print(w)
 package ranktable
@@ -26,25 +26,25 @@
 )
 
 const (
-	median     = 0.5
-	percentile = 0.99
+	median = 0.5
+	p99    = 0.99
 )
 
-// Row is the results of one rank in one phase.
+// Row counts the requests of one rank in one phase.
 type Row struct {
 	Phase   string
 	Rank    cassiatally.Rank
 	Classes []string
 	Offered int
-	// Completed counts whole answers that arrived before the caller gave up.
+	// Completed counts complete answers that arrived before the caller gave up.
 	Completed int
-	// Shed counts requests told not to have been run.
+	// Shed counts requests that were reported to the caller as not run.
 	Shed    int
 	Unknown int
-	// Failed counts requests told to have been run without a whole answer.
+	// Failed counts requests that were reported as run, without a complete answer.
 	Failed int
-	// Twice counts calls of work that is not idempotent with several runs,
-	// onward calls included.
+	// RunTwice counts calls of work that is not idempotent that were run more than
+	// once, onward calls included.
 	RunTwice  int
 	latencies []time.Duration
 }
@@ -52,20 +52,20 @@
 // Quantile returns a quantile of the latencies of completed requests.
 func (r *Row) Quantile(q float64) time.Duration { return Quantile(r.latencies, q) }
 
-// Table counts results.
+// Table counts results by phase and rank.
 type Table struct {
 	book  *sheetbook.Book
-	rows  map[rowName]*Row
-	order []rowName
-	names map[core.RequestID]rowName
+	rows  map[rowKey]*Row
+	order []rowKey
+	keyOf map[core.RequestID]rowKey
 }
 
-type rowName struct {
+type rowKey struct {
 	phase string
 	rank  cassiatally.Rank
 }
 
-// call is one call of a request's call tree.
+// call identifies one call in the call tree of a request.
 type call struct {
 	id      core.RequestID
 	service cassiatally.Service
@@ -74,31 +74,31 @@
 
 // New returns an empty table for the ranks of a sheet.
 func New(book *sheetbook.Book) *Table {
-	return &Table{book: book, rows: make(map[rowName]*Row), names: make(map[core.RequestID]rowName)}
+	return &Table{book: book, rows: make(map[rowKey]*Row), keyOf: make(map[core.RequestID]rowKey)}
 }
 
-// Add counts what callers were told.
-func (t *Table) Add(told []core.Told) {
-	for _, one := range told {
-		row := t.row(rowName{one.Phase, t.book.Rank(one.Service, one.Kind)})
-		t.names[one.ID] = rowName{row.Phase, row.Rank}
-		row.add(one)
+// Add counts the outcomes that were reported to callers.
+func (t *Table) Add(reported []core.Told) {
+	for _, r := range reported {
+		row := t.row(rowKey{r.Phase, t.book.Rank(r.Service, r.Kind)})
+		t.keyOf[r.ID] = rowKey{row.Phase, row.Rank}
+		row.add(r)
 	}
 }
 
-// AddRuns counts the calls of the requests added before that were run twice
-// although their work is not idempotent.
+// AddRuns counts the calls that were run more than once although their work is not
+// idempotent. It ignores runs of requests that Add has not counted.
 func (t *Table) AddRuns(runs []core.Run) {
 	seen := make(map[call]int)
 	for _, r := range runs {
-		name, known := t.names[r.ID]
-		if !known || t.book.Idempotent(r.Service, r.Kind) {
+		key, counted := t.keyOf[r.ID]
+		if !counted || t.book.Idempotent(r.Service, r.Kind) {
 			continue
 		}
 		c := call{r.ID, r.Service, r.Kind}
 		seen[c]++
 		if seen[c] == 2 {
-			t.rows[name].RunTwice++
+			t.rows[key].RunTwice++
 		}
 	}
 }
@@ -131,13 +131,13 @@
 			r.Phase, strconv.Itoa(int(r.Rank)), strings.Join(r.Classes, ","), strconv.Itoa(r.Offered),
 			fmt.Sprintf("%d (%.1f%%)", r.Completed, percent(r.Completed, r.Offered)), strconv.Itoa(r.Shed),
 			strconv.Itoa(r.Unknown), strconv.Itoa(r.Failed), strconv.Itoa(r.RunTwice),
-			round(r.Quantile(median)), round(r.Quantile(percentile)),
+			round(r.Quantile(median)), round(r.Quantile(p99)),
 		)
 	}
 	return out.Print(w, true)
 }
 
-func (t *Table) row(n rowName) *Row {
+func (t *Table) row(n rowKey) *Row {
 	r := t.rows[n]
 	if r == nil {
 		r = &Row{Phase: n.phase, Rank: n.rank}
@@ -147,27 +147,27 @@
 	return r
 }
 
-func (r *Row) add(one core.Told) {
+func (r *Row) add(reported core.Told) {
 	r.Offered++
-	if !slices.Contains(r.Classes, one.Class) {
-		r.Classes = append(r.Classes, one.Class)
+	if !slices.Contains(r.Classes, reported.Class) {
+		r.Classes = append(r.Classes, reported.Class)
 		slices.Sort(r.Classes)
 	}
 	switch {
-	case one.Status == http.StatusOK && one.Fault == core.FaultNone:
+	case reported.Status == http.StatusOK && reported.Fault == core.FaultNone:
 		r.Completed++
-		r.latencies = append(r.latencies, time.Duration(one.LatencyMS*float64(time.Millisecond)))
-	case one.Outcome == core.ToldNotRun:
+		r.latencies = append(r.latencies, time.Duration(reported.LatencyMS*float64(time.Millisecond)))
+	case reported.Outcome == core.ToldNotRun:
 		r.Shed++
-	case one.Outcome == core.ToldRan:
+	case reported.Outcome == core.ToldRan:
 		r.Failed++
 	default:
 		r.Unknown++
 	}
 }
 
-// Quantile returns the smallest value that at least the part q of the values
-// does not exceed; 0 without values.
+// Quantile returns the smallest value such that at least the fraction q of the
+// values do not exceed it; 0 without values.
 func Quantile(values []time.Duration, q float64) time.Duration {
 	if len(values) == 0 {
 		return 0
--- a/bench/ranktable/ranktable_test.go
+++ b/bench/ranktable/ranktable_test.go
@@ -35,26 +35,26 @@
 	return core.Told{ID: id, Class: "confirm", Phase: "base", Service: "booking-svc", Kind: "confirm", Outcome: outcome, Status: status}
 }
 
-// TestRowsCountEachRequestOnce guards against a request that is counted as
-// completed although its answer was wrong, or in two columns.
+// TestRowsCountEachRequestOnce guards against counting a request as completed
+// although its answer was wrong, or in two columns.
 func TestRowsCountEachRequestOnce(t *testing.T) {
 	foreign := confirm("f", core.ToldRan, 200)
 	foreign.Fault = core.FaultForeign
 	cases := map[string]struct {
-		told core.Told
-		want Row
+		reported core.Told
+		want     Row
 	}{
-		"a whole answer is completed":           {confirm("a", core.ToldRan, 200), Row{Completed: 1}},
-		"a refusal is shed":                     {confirm("b", core.ToldNotRun, 503), Row{Shed: 1}},
-		"an unknown outcome is unknown":         {confirm("c", core.ToldUnknown, 502), Row{Unknown: 1}},
-		"a failure of the run is failed":        {confirm("d", core.ToldRan, 502), Row{Failed: 1}},
-		"an answer to another one is a failure": {foreign, Row{Failed: 1}},
+		"a complete answer is completed":         {confirm("a", core.ToldRan, 200), Row{Completed: 1}},
+		"a refusal is shed":                      {confirm("b", core.ToldNotRun, 503), Row{Shed: 1}},
+		"an unknown outcome is unknown":          {confirm("c", core.ToldUnknown, 502), Row{Unknown: 1}},
+		"a failure of the run is failed":         {confirm("d", core.ToldRan, 502), Row{Failed: 1}},
+		"an answer to another request is failed": {foreign, Row{Failed: 1}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			table := New(openBook(t))
-			table.Add([]core.Told{c.told})
+			table.Add([]core.Told{c.reported})
 			rows := table.Rows()
 			is.Equal(len(rows), 1)
 			got := rows[0]
@@ -64,9 +64,9 @@
 	}
 }
 
-// TestTwiceCountsOnwardCalls guards against a doubled onward call that the table
-// does not show because its caller sent the request once.
-func TestTwiceCountsOnwardCalls(t *testing.T) {
+// TestRunTwiceCountsOnwardCalls guards against a table that misses an onward call
+// run twice, because the caller sent the request only once.
+func TestRunTwiceCountsOnwardCalls(t *testing.T) {
 	reserve := core.Run{ID: "a", Service: "depot-svc", Kind: "reserve"}
 	check := core.Run{ID: "a", Service: "avail-svc", Kind: "check"}
 	cases := map[string]struct {
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestQuantile guards against percentiles that are off by one entry or fail for
-// small numbers of values.
+// TestQuantile guards against quantiles that are off by one entry or fail for few
+// values.
 func TestQuantile(t *testing.T) {
 	values := []time.Duration{4, 1, 3, 2}
 	cases := map[string]struct {
