--- a/bench/trial/trial.go
+++ b/bench/trial/trial.go
@@ -1,4 +1,5 @@
-// Package trial runs one load against a fleet and keeps what callers were told.
+// Package trial runs one load against a fleet and collects the results that
+// callers received.
 //
 // # Usage
 //
@@ -23,25 +24,26 @@
 )
 
 const (
-	// workers bounds the requests in flight: 6 times 300 requests a second with
-	// three copies of up to 2 s each are in flight at most 10,800 at a time, but
-	// most are refused or run in well below 1 s.
+	// workers bounds the requests in flight. At 6 times 300 requests a second, with
+	// three copies of up to 2 s each, at most 10,800 are in flight, but most are
+	// refused or run in well below 1 s.
 	workers          = 6000
 	progressInterval = 4 * time.Second
 )
 
-// Trial is one load on a fleet.
+// Trial sends one load to a fleet.
 type Trial struct {
 	Fleet *deployer.Fleet
-	// Name begins the ids of the requests.
+	// Name is the prefix of the request ids.
 	Name string
 	Seed uint64
-	// Progress gets a line every few seconds.
+	// Progress receives a line every 4 s.
 	Progress *log.Logger
 }
 
-// Results is what callers were told in a trial, and when its phases began.
+// Results are the results of a trial and its time span.
 type Results struct {
+	// Requests has the result of each request that ended, in order of time.
 	Requests []collector.Result
 	// Unsent counts requests that the load could not send in time.
 	Unsent int
@@ -63,7 +65,7 @@
 	reporting, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	results := Results{Start: time.Now()}
-	wg.Go(func() { t.report(reporting, c, results.Start, phases) })
+	wg.Go(func() { t.logProgress(reporting, c, results.Start, phases) })
 	rows := l.Run(ctx)
 	results.End = time.Now()
 	stop()
@@ -75,8 +77,8 @@
 	return results
 }
 
-// report is the duty that prints progress.
-func (t *Trial) report(ctx context.Context, c *collector.Collector, start time.Time, phases []loadplan.Phase) {
+// logProgress is the duty that logs progress.
+func (t *Trial) logProgress(ctx context.Context, c *collector.Collector, start time.Time, phases []loadplan.Phase) {
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	for {
@@ -84,14 +86,14 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			all, whole := c.Count(ctx)
+			ended, completed := c.Count(ctx)
 			elapsed := time.Since(start)
-			t.Progress.Info("load", "phase", phaseAt(phases, elapsed), "elapsed", elapsed.Round(time.Second), "ended", all, "completed", whole)
+			t.Progress.Info("load", "phase", phaseAt(phases, elapsed), "elapsed", elapsed.Round(time.Second), "ended", ended, "completed", completed)
 		}
 	}
 }
 
-// phaseAt returns the phase at a time since the start.
+// phaseAt returns the phase at a time since the start, or "end" after the last.
 func phaseAt(phases []loadplan.Phase, at time.Duration) loadplan.PhaseName {
 	for _, p := range phases {
 		if at < p.Duration {
@@ -102,11 +104,11 @@
 	return "end"
 }
 
-// Reports returns what callers were told, without the times.
+// Reports returns the outcomes that were reported to callers, without their times.
 func (r Results) Reports() []core.Told {
-	told := make([]core.Told, 0, len(r.Requests))
-	for _, one := range r.Requests {
-		told = append(told, one.Told)
+	reports := make([]core.Told, 0, len(r.Requests))
+	for _, result := range r.Requests {
+		reports = append(reports, result.Told)
 	}
-	return told
+	return reports
 }
