--- a/bench/experimenter/experimenter.go
+++ b/bench/experimenter/experimenter.go
@@ -1,5 +1,5 @@
 // Package experimenter runs scenarios with each control mode, one after another
-// on the same machine, and keeps what was seen.
+// on the same machine, and returns the observations.
 //
 // # Usage
 //
@@ -31,20 +31,20 @@
 	"github.com/cassiatally/cassiatally/standin/core"
 )
 
-// startTries bounds the starts of a fleet.
-const startTries = 3
+// maxStarts bounds the attempts to start a fleet.
+const maxStarts = 3
 
-var errNotStarted = errors.New("the fleet did not start")
+var errFleetNotStarted = errors.New("the fleet did not start")
 
-// Mode is one way to run the nodes.
+// Mode is one configuration of the nodes that is compared with others.
 type Mode struct {
 	Name    observation.Mode
 	Control deployer.ControlMode
-	// NodeBin is the folder of the node program; empty for that of this commit.
+	// NodeBin is the folder of the node program; empty for the one of this commit.
 	NodeBin string
 }
 
-// Experimenter runs scenarios.
+// Experimenter runs scenarios with each mode.
 type Experimenter struct {
 	Deployment deployment.Deployment
 	Modes      []Mode
@@ -54,14 +54,15 @@
 	Seed uint64
 	// Length is the length of a phase.
 	Length time.Duration
-	// Shared runs all scenarios of a mode on one fleet, whose links have no delay.
-	// Otherwise each scenario has a fleet of its own.
+	// SharedFleet runs all scenarios of a mode on one fleet, whose links have no
+	// delay. Otherwise each scenario has a fleet of its own.
 	SharedFleet bool
 	Logger      *log.Logger
 }
 
-// Run runs all scenarios. Modes alternate within a scenario, so that a change of
-// the machine's load meets all of them.
+// Run runs all scenarios. Unless the fleet is shared, all modes of a scenario run
+// before the next scenario, so that a change of the machine's load affects all of
+// them alike.
 func (e *Experimenter) Run(ctx context.Context) ([]observation.Observation, error) {
 	groups := [][]scenario.Scenario{e.Scenarios}
 	if !e.SharedFleet {
@@ -73,8 +74,8 @@
 	var all []observation.Observation
 	for _, group := range groups {
 		for _, m := range e.Modes {
-			seen, err := e.runOn(ctx, m, group)
-			all = append(all, seen...)
+			observations, err := e.runGroup(ctx, m, group)
+			all = append(all, observations...)
 			if err != nil {
 				return all, errors.Wrapf(err, "mode %s", m.Name)
 			}
@@ -83,20 +84,20 @@
 	return all, nil
 }
 
-// runOn runs scenarios on one fleet. A fleet that does not start is started again,
-// since another program of the machine can take a reserved port.
-func (e *Experimenter) runOn(ctx context.Context, m Mode, group []scenario.Scenario) ([]observation.Observation, error) {
+// runGroup runs scenarios on one fleet. It tries again when the fleet does not
+// start, since another program of the machine can take a reserved port.
+func (e *Experimenter) runGroup(ctx context.Context, m Mode, group []scenario.Scenario) ([]observation.Observation, error) {
 	for tries := 1; ; tries++ {
-		seen, err := e.tryOn(ctx, m, group)
-		if !errors.Is(err, errNotStarted) || tries == startTries || ctx.Err() != nil {
-			return seen, err
+		observations, err := e.tryGroup(ctx, m, group)
+		if !errors.Is(err, errFleetNotStarted) || tries == maxStarts || ctx.Err() != nil {
+			return observations, err
 		}
 		e.Logger.Warn("fleet not started", "mode", m.Name, "tries", tries, "err", err)
 	}
 }
 
-// tryOn runs scenarios on one fleet, which it ends.
-func (e *Experimenter) tryOn(ctx context.Context, m Mode, group []scenario.Scenario) ([]observation.Observation, error) {
+// tryGroup starts a fleet, runs scenarios on it, and stops it.
+func (e *Experimenter) tryGroup(ctx context.Context, m Mode, group []scenario.Scenario) ([]observation.Observation, error) {
 	folder, err := os.MkdirTemp("", "cassiatally-bench-")
 	if err != nil {
 		return nil, errors.Wrap(err, "making a folder for logs")
@@ -105,22 +106,22 @@
 	l := &launcher.Launcher{Logs: folder, Environment: launcher.SmallHostEnvironment()}
 	l.Run()
 	defer l.Close()
-	p, err := e.start(ctx, m, l, folder, group)
+	p, err := e.startFleet(ctx, m, l, folder, group)
 	if err != nil {
-		return nil, errors.Mark(err, errNotStarted)
+		return nil, errors.Mark(err, errFleetNotStarted)
 	}
-	var seen []observation.Observation
+	var observations []observation.Observation
 	for _, s := range group {
 		o, err := e.observe(ctx, m, p, s)
 		if err != nil {
-			return seen, errors.Wrapf(err, "scenario %s", s.Name)
+			return observations, errors.Wrapf(err, "scenario %s", s.Name)
 		}
-		seen = append(seen, o)
+		observations = append(observations, o)
 	}
-	return seen, nil
+	return observations, nil
 }
 
-func (e *Experimenter) start(ctx context.Context, m Mode, l *launcher.Launcher, folder string, group []scenario.Scenario) (*sheetpublisher.Publisher, error) {
+func (e *Experimenter) startFleet(ctx context.Context, m Mode, l *launcher.Launcher, folder string, group []scenario.Scenario) (*sheetpublisher.Publisher, error) {
 	dep := e.Deployment
 	if e.SharedFleet || group[0].Name == scenario.Cost {
 		dep.LinkLatency = 0
@@ -137,13 +138,13 @@
 		return nil, err
 	}
 	p := &sheetpublisher.Publisher{Program: filepath.Join(bin, "cassiatally"), Fleet: f}
-	if _, err := p.Publish(ctx, e.sheet(), 0); err != nil {
+	if _, err := p.Publish(ctx, e.sheetFile(), 0); err != nil {
 		return nil, err
 	}
 	return p, f.WaitKeys(ctx)
 }
 
-func (e *Experimenter) sheet() string { return filepath.Join(e.Root, e.Deployment.Sheet) }
+func (e *Experimenter) sheetFile() string { return filepath.Join(e.Root, e.Deployment.Sheet) }
 
 func (e *Experimenter) observe(ctx context.Context, m Mode, p *sheetpublisher.Publisher, s scenario.Scenario) (observation.Observation, error) {
 	o := observation.Observation{Mode: m.Name, Scenario: s}
@@ -156,18 +157,18 @@
 		e.Logger.Warn("load average above the number of cores", "load_average", float64(o.LoadAverage), "cores", cores)
 	}
 	if s.Name == scenario.Cost {
-		meter := &costmeter.Meter{Fleet: p.Fleet, Publisher: p, Sheet: e.sheet(), Seed: e.Seed, Length: e.Length}
+		meter := &costmeter.Meter{Fleet: p.Fleet, Publisher: p, Sheet: e.sheetFile(), Seed: e.Seed, Length: e.Length}
 		o.Cost, err = meter.Measure(ctx)
 		return o, err
 	}
-	if err := e.load(ctx, p.Fleet, &o); err != nil {
+	if err := e.runLoad(ctx, p.Fleet, &o); err != nil {
 		return o, err
 	}
-	o.Runs, err = runs(ctx, p.Fleet, s.Name)
+	o.Runs, err = readRuns(ctx, p.Fleet, s.Name)
 	return o, err
 }
 
-func (e *Experimenter) load(ctx context.Context, f *deployer.Fleet, o *observation.Observation) error {
+func (e *Experimenter) runLoad(ctx context.Context, f *deployer.Fleet, o *observation.Observation) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -183,7 +184,7 @@
 	return errEvents
 }
 
-// runEvents is the duty that brings about the disturbances.
+// runEvents is the duty that makes the changes of a scenario at their times.
 func runEvents(ctx context.Context, f *deployer.Fleet, events []scenario.Event) error {
 	start := time.Now()
 	var err error
@@ -204,14 +205,14 @@
 	Runs []core.Run `json:"runs"`
 }
 
-// runs reads the runs of a scenario from the backend servers that are alive.
-func runs(ctx context.Context, f *deployer.Fleet, name scenario.Name) ([]core.Run, error) {
+// readRuns reads the runs of a scenario from the backend servers that are alive.
+func readRuns(ctx context.Context, f *deployer.Fleet, name scenario.Name) ([]core.Run, error) {
 	var all []core.Run
 	for _, e := range f.Endpoints {
 		if !e.Alive() {
 			continue
 		}
-		body, err := records(ctx, f.Client, "http://"+e.Backend.Listening["address"]+"/records")
+		body, err := readRecords(ctx, f.Client, "http://"+e.Backend.Listening["address"]+"/records")
 		if err != nil {
 			return nil, err
 		}
@@ -224,7 +225,7 @@
 	return all, nil
 }
 
-func records(ctx context.Context, client *http.Client, url string) (recordsBody, error) {
+func readRecords(ctx context.Context, client *http.Client, url string) (recordsBody, error) {
 	var body recordsBody
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
