--- a/bench/deployer/deployer.go
+++ b/bench/deployer/deployer.go
@@ -1,5 +1,5 @@
-// Package deployer starts a deployment with real processes on loopback: the log
-// stand-in, a recorder if asked for, fault proxies that delay the links between
+// Package deployer starts a deployment as real processes on loopback: the log
+// stand-in, a recorder if wanted, a fault proxy that delays the links between
 // nodes, and a node and a backend server for each endpoint.
 //
 // # Usage
@@ -33,13 +33,13 @@
 	standinProgram = "cassiatally-standin"
 	nodeProgram    = "cassiatally-node"
 	// backendQueue bounds the requests that wait within a backend server. It is
-	// large, so that without control the queue of the backend server fills up.
+	// large, so that a long queue builds up there when nodes do not limit load.
 	backendQueue = 1000
-	// controlTimeout bounds one request to a process of the trial.
+	// controlTimeout bounds one control request to a process of the trial.
 	controlTimeout = 5 * time.Second
 )
 
-// Control is a control mode of the nodes.
+// ControlMode is a value of the setting control of the nodes.
 type ControlMode string
 
 // The control modes.
@@ -57,14 +57,14 @@
 	Bin     string
 	NodeBin string
 	Control ControlMode
-	// Folder takes the settings files of the nodes.
+	// Folder is where the settings files of the nodes are written.
 	Folder string
-	// Recorded adds a recorder that keeps all runs.
+	// WithRecorder adds a recorder that stores all runs.
 	WithRecorder bool
 	Seed         uint64
 }
 
-// nodeSettings are the settings of a node that a trial sets.
+// nodeSettings is the settings file of a node.
 type nodeSettings struct {
 	Node      nodeSection       `yaml:"node"`
 	Listen    listenSection     `yaml:"listen"`
@@ -100,7 +100,7 @@
 func (d *Deployer) Deploy(ctx context.Context) (*Fleet, error) {
 	client := &http.Client{Timeout: controlTimeout}
 	f := &Fleet{Deployment: d.Deployment, Status: &statusreader.Reader{Client: client}, Client: client}
-	for _, step := range []func(context.Context, *Fleet) error{d.startServices, d.startLinks, d.startNodes, d.startBackends} {
+	for _, step := range []func(context.Context, *Fleet) error{d.startLogAndRecorder, d.prepareLinks, d.startNodes, d.startBackends} {
 		if err := step(ctx, f); err != nil {
 			return nil, err
 		}
@@ -108,12 +108,12 @@
 	return f, nil
 }
 
-func (d *Deployer) standin(ctx context.Context, name string, args ...string) (*launcher.Process, error) {
+func (d *Deployer) launchStandin(ctx context.Context, name string, args ...string) (*launcher.Process, error) {
 	return d.Launcher.Launch(ctx, launcher.Program{Name: name, Path: filepath.Join(d.Bin, standinProgram), Args: args})
 }
 
-func (d *Deployer) startServices(ctx context.Context, f *Fleet) error {
-	p, err := d.standin(ctx, "log", "log")
+func (d *Deployer) startLogAndRecorder(ctx context.Context, f *Fleet) error {
+	p, err := d.launchStandin(ctx, "log", "log")
 	if err != nil {
 		return err
 	}
@@ -121,18 +121,18 @@
 	if !d.WithRecorder {
 		return nil
 	}
-	if p, err = d.standin(ctx, "recorder", "recorder"); err != nil {
+	if p, err = d.launchStandin(ctx, "recorder", "recorder"); err != nil {
 		return err
 	}
 	f.RecorderURL = "http://" + p.Listening["address"]
 	return nil
 }
 
-// startLinks lays out the endpoints and their link addresses, and puts a proxy
-// before each link when links are delayed.
-func (d *Deployer) startLinks(ctx context.Context, f *Fleet) error {
-	// Neighbours are in different data centres, so that a caller which sends a
-	// request again leaves a lost data centre.
+// prepareLinks creates the endpoints with their link addresses, and puts a fault
+// proxy in front of each link address when links are delayed.
+func (d *Deployer) prepareLinks(ctx context.Context, f *Fleet) error {
+	// Consecutive endpoints are in different data centres, so that a caller that
+	// sends a request again, to the next node, leaves a lost data centre.
 	for _, s := range d.Deployment.Services {
 		for _, dc := range d.Deployment.DataCentres {
 			id := cassiatally.NodeID(fmt.Sprintf("%s-%s", s.Name, dc))
@@ -145,20 +145,20 @@
 	}
 	args := []string{"faults"}
 	for i, e := range f.Endpoints {
-		e.listen, e.advertise = links[i], links[i]
-		args = append(args, "--route", fmt.Sprintf("%s=127.0.0.1:0,%s", e.ID, e.listen))
+		e.listenAddress, e.advertisedAddress = links[i], links[i]
+		args = append(args, "--route", fmt.Sprintf("%s=127.0.0.1:0,%s", e.ID, e.listenAddress))
 	}
 	if d.Deployment.LinkLatency == 0 {
 		return nil
 	}
-	p, err := d.standin(ctx, "faults", args...)
+	p, err := d.launchStandin(ctx, "faults", args...)
 	if err != nil {
 		return err
 	}
 	for _, e := range f.Endpoints {
-		e.advertise = cassiatally.Address(p.Routes[string(e.ID)])
+		e.advertisedAddress = cassiatally.Address(p.Routes[string(e.ID)])
 		url := fmt.Sprintf("http://%s/v1/routes/%s", p.Listening["address"], e.ID)
-		if err := f.put(ctx, url, fmt.Sprintf(`{"delay": %q}`, d.Deployment.LinkLatency)); err != nil {
+		if err := f.putJSON(ctx, url, fmt.Sprintf(`{"delay": %q}`, d.Deployment.LinkLatency)); err != nil {
 			return err
 		}
 	}
@@ -194,9 +194,9 @@
 func (d *Deployer) writeSettings(f *Fleet, e *Endpoint) (string, error) {
 	settings := nodeSettings{
 		Node:      nodeSection{ID: string(e.ID), DataCentre: string(e.DataCentre)},
-		Listen:    listenSection{Callers: "127.0.0.1:0", Backend: "127.0.0.1:0", Links: string(e.listen), Admin: "127.0.0.1:0"},
-		Advertise: &advertiseSection{Links: string(e.advertise)},
-		Seeds:     f.seeds(e),
+		Listen:    listenSection{Callers: "127.0.0.1:0", Backend: "127.0.0.1:0", Links: string(e.listenAddress), Admin: "127.0.0.1:0"},
+		Advertise: &advertiseSection{Links: string(e.advertisedAddress)},
+		Seeds:     f.seedsFor(e),
 		Log:       logSection{Address: "http://" + string(f.LogAddress), Timeout: controlTimeout.String()},
 		Control:   string(d.Control),
 		LogLevel:  "warn",
@@ -224,7 +224,7 @@
 		for _, w := range s.Work {
 			args = append(args, "--work", w)
 		}
-		p, err := d.standin(ctx, "backend-"+string(e.ID), args...)
+		p, err := d.launchStandin(ctx, "backend-"+string(e.ID), args...)
 		if err != nil {
 			return err
 		}
@@ -233,7 +233,7 @@
 	return nil
 }
 
-func (f *Fleet) put(ctx context.Context, url, body string) error {
+func (f *Fleet) putJSON(ctx context.Context, url, body string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewBufferString(body))
 	if err != nil {
 		return errors.Wrap(err, "building a control request")
--- a/bench/deployer/fleet.go
+++ b/bench/deployer/fleet.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// readyLimit bounds the time until a started fleet is ready; it is generous,
-	// since the machine is shared.
-	readyLimit = 60 * time.Second
-	pollPause  = 20 * time.Millisecond
+	// readyTimeout bounds the time until a started fleet is ready. It is long, since
+	// the machine is shared.
+	readyTimeout = 60 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
 // Endpoint is a backend server with its node.
@@ -28,17 +28,17 @@
 	Service    deployment.Service
 	Node       *launcher.Process
 	Backend    *launcher.Process
-	// Callers is the URL for callers, Admin the address for operators.
+	// CallerURL is the URL for callers, AdminAddress the address for operators.
 	CallerURL    string
 	AdminAddress cassiatally.Address
 
-	// listen is the address of the node for links, advertise the one that others
-	// use.
-	listen    cassiatally.Address
-	advertise cassiatally.Address
+	// listenAddress is the address on which the node accepts links,
+	// advertisedAddress the one that other nodes connect to.
+	listenAddress     cassiatally.Address
+	advertisedAddress cassiatally.Address
 }
 
-// Alive reports whether the node of the endpoint runs.
+// Alive reports whether the node process of the endpoint runs.
 func (e *Endpoint) Alive() bool {
 	select {
 	case <-e.Node.Exited():
@@ -48,37 +48,38 @@
 	}
 }
 
-// Kill ends node and backend server at once.
+// Kill ends the node and the backend server with SIGKILL.
 func (e *Endpoint) Kill() {
 	e.Node.Kill()
 	e.Backend.Kill()
 }
 
-// Fleet is a deployment that runs.
+// Fleet is a running deployment.
 type Fleet struct {
 	Deployment deployment.Deployment
 	LogAddress cassiatally.Address
-	// Recorder is the URL of the recorder; empty for none.
+	// RecorderURL is empty when there is no recorder.
 	RecorderURL string
 	Endpoints   []*Endpoint
 	Status      *statusreader.Reader
 	Client      *http.Client
 }
 
-// seeds returns the links of the first node of each data centre but e itself.
-func (f *Fleet) seeds(e *Endpoint) []string {
+// seedsFor returns the link addresses of the first node of each data centre, but
+// for e itself.
+func (f *Fleet) seedsFor(e *Endpoint) []string {
 	var seeds []string
 	seen := make(map[cassiatally.DataCentre]bool)
 	for _, other := range f.Endpoints {
 		if !seen[other.DataCentre] && other != e {
-			seeds = append(seeds, string(other.advertise))
+			seeds = append(seeds, string(other.advertisedAddress))
 		}
 		seen[other.DataCentre] = true
 	}
 	return seeds
 }
 
-// Callers returns the URLs of all nodes for callers.
+// CallerURLs returns the URLs for callers of all nodes.
 func (f *Fleet) CallerURLs() []string {
 	urls := make([]string, 0, len(f.Endpoints))
 	for _, e := range f.Endpoints {
@@ -87,7 +88,7 @@
 	return urls
 }
 
-// Of returns the endpoints of a service.
+// EndpointsOf returns the endpoints of a service.
 func (f *Fleet) EndpointsOf(s cassiatally.Service) []*Endpoint {
 	var found []*Endpoint
 	for _, e := range f.Endpoints {
@@ -101,12 +102,12 @@
 // SetServiceTime changes the service time of a backend server.
 func (f *Fleet) SetServiceTime(ctx context.Context, e *Endpoint, d time.Duration) error {
 	url := "http://" + e.Backend.Listening["address"] + "/control"
-	return f.put(ctx, url, fmt.Sprintf(`{"service_time": %q}`, d))
+	return f.putJSON(ctx, url, fmt.Sprintf(`{"service_time": %q}`, d))
 }
 
-// WaitMembers waits until each node knows all endpoints.
+// WaitMembers waits until the status of each node counts all endpoints.
 func (f *Fleet) WaitMembers(ctx context.Context) error {
-	return f.waitAll(ctx, "know all endpoints", func(ctx context.Context, e *Endpoint) bool {
+	return f.waitAll(ctx, "list all endpoints", func(ctx context.Context, e *Endpoint) bool {
 		s, err := f.Status.Read(ctx, e.AdminAddress)
 		return err == nil && s.EndpointCount() == len(f.Endpoints)
 	})
@@ -120,7 +121,7 @@
 	})
 }
 
-// WaitKeys waits until each node mints keys.
+// WaitKeys waits until each node has minted an idempotency key.
 func (f *Fleet) WaitKeys(ctx context.Context) error {
 	return f.waitAll(ctx, "mint keys", func(ctx context.Context, e *Endpoint) bool {
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, e.CallerURL+"/v1/keys", http.NoBody)
@@ -136,17 +137,18 @@
 	})
 }
 
-// waitAll waits until the condition has been true once for each endpoint.
-func (f *Fleet) waitAll(ctx context.Context, what string, isTrue func(context.Context, *Endpoint) bool) error {
-	ctx, cancel := context.WithTimeout(ctx, readyLimit)
+// waitAll waits until the condition has been true once for each endpoint. The
+// description of the condition completes the error "waiting for NODE to ...".
+func (f *Fleet) waitAll(ctx context.Context, description string, condition func(context.Context, *Endpoint) bool) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	ticker := time.NewTicker(pollPause)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for _, e := range f.Endpoints {
-		for !isTrue(ctx, e) {
+		for !condition(ctx, e) {
 			select {
 			case <-ctx.Done():
-				return errors.Wrapf(ctx.Err(), "waiting for %s to %s", e.ID, what)
+				return errors.Wrapf(ctx.Err(), "waiting for %s to %s", e.ID, description)
 			case <-ticker.C:
 			}
 		}
