--- a/bench/deployment/deployment.go
+++ b/bench/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment describes the deployments that trials run: services, data
-// centres, sizes of endpoints, call graph and classes of requests.
+// Package deployment defines the deployments that trials run: services, data
+// centres, endpoint sizes, call graph and request classes.
 //
 // # Usage
 //
@@ -19,11 +19,11 @@
 )
 
 const (
-	// narrowServiceTime and wideServiceTime are the service times at scale 1. The
-	// narrow service of the barrier agency then serves 3,000 requests a second,
-	// which is more than the shared machine can drive.
-	narrowServiceTime = 20 * time.Millisecond
-	wideServiceTime   = 2 * time.Millisecond
+	// bottleneckServiceTime and otherServiceTime are the service times at scale 1.
+	// The bottleneck service of the barrier agency then serves 3,000 requests a
+	// second, which is more than the shared machine can drive.
+	bottleneckServiceTime = 20 * time.Millisecond
+	otherServiceTime      = 2 * time.Millisecond
 	// dataCentreLatency is the delay of links between nodes, one way.
 	dataCentreLatency = time.Millisecond
 )
@@ -46,40 +46,43 @@
 	Slots       cassiatally.Concurrency
 	Connections cassiatally.Concurrency
 	ServiceTime time.Duration
-	// Work has an entry KIND=svc/kind,svc/kind for each kind of work.
+	// Work has an entry for each kind of work: KIND, or KIND=svc/kind,svc/kind with
+	// its onward calls.
 	Work []string
 }
 
-// Class is a class of requests and its part of the mixed load.
+// Class is a class of requests and its weight in the mixed load.
 type Class struct {
 	loadplan.Class
-	// Part is the part of the class in the mixed load, relative to the others.
+	// Weight is the rate of the class in the mixed load, relative to the others.
 	Weight float64
 }
 
-// Deployment describes a deployment.
+// Deployment describes services, their endpoints and the load that callers send.
 type Deployment struct {
 	Name        Name
 	DataCentres []cassiatally.DataCentre
 	Services    []Service
-	// Narrow is the service with the least capacity. Each request of the classes
-	// that Classes lists, but those marked in Elsewhere, calls it once.
+	// Bottleneck is the service with the least capacity. Each request calls it once,
+	// but for those of the classes in Bypassing.
 	Bottleneck cassiatally.Service
-	// Deep is the deepest kind of work of the call graph.
+	// DeepestKind is the deepest kind of work in the call graph. The bottleneck
+	// service does it.
 	DeepestKind cassiatally.WorkKind
 	Classes     []Class
-	// Elsewhere lists classes that do not call the narrow service.
-	BypassingClasses []loadplan.ClassName
-	// CallerLatency is the one-way delay of callers, LinkLatency that between
-	// nodes.
+	// Bypassing lists classes that do not call the bottleneck service.
+	Bypassing []loadplan.ClassName
+	// CallerLatency is the one-way delay between callers and nodes, LinkLatency that
+	// between nodes.
 	CallerLatency time.Duration
 	LinkLatency   time.Duration
-	// Sheet is the file of the sheet, below the root of the repository.
+	// Sheet is the path of the sheet, relative to the root of the repository.
 	Sheet string
 }
 
-// Named returns a deployment. The scale is the part of the stated rates that it
-// serves; service times grow as it shrinks.
+// Named returns the deployment with the name. The scale, above 0 and at most 1, is
+// the fraction of the stated rates that it serves: a smaller scale makes service
+// times longer.
 func Named(n Name, scale float64) (Deployment, error) {
 	if scale <= 0 || scale > 1 {
 		return Deployment{}, errors.Newf("the scale %g is not above 0 and at most 1", scale)
@@ -97,32 +100,32 @@
 	d.LinkLatency = dataCentreLatency
 	for i := range d.Services {
 		s := &d.Services[i]
-		s.ServiceTime = time.Duration(float64(wideServiceTime) / scale)
+		s.ServiceTime = time.Duration(float64(otherServiceTime) / scale)
 		if s.Name == d.Bottleneck {
-			s.ServiceTime = time.Duration(float64(narrowServiceTime) / scale)
+			s.ServiceTime = time.Duration(float64(bottleneckServiceTime) / scale)
 		}
 	}
 	return d, nil
 }
 
-// Capacity returns the capacity of the narrow service: slots over service time.
+// Capacity returns the capacity of the bottleneck service: slots over service time.
 func (d Deployment) Capacity() loadplan.Rate {
 	s := d.BottleneckService()
 	return loadplan.Rate(float64(len(d.DataCentres)) * float64(s.Slots) / s.ServiceTime.Seconds())
 }
 
-// NarrowService returns the service with the least capacity.
+// BottleneckService returns the service with the least capacity.
 func (d Deployment) BottleneckService() Service {
 	i := slices.IndexFunc(d.Services, func(s Service) bool { return s.Name == d.Bottleneck })
 	return d.Services[i]
 }
 
-// Mixed returns the rate of each class when all of them together send the
-// narrow service the given load, in multiples of its capacity.
+// MixedRates returns the rate of each class for which all classes together put the
+// given load on the bottleneck service, in multiples of its capacity.
 func (d Deployment) MixedRates(load float64) map[loadplan.ClassName]loadplan.Rate {
 	sum := 0.0
 	for _, c := range d.Classes {
-		if !d.elsewhere(c.Name) {
+		if !d.bypasses(c.Name) {
 			sum += c.Weight
 		}
 	}
@@ -133,21 +136,21 @@
 	return rates
 }
 
-// FullyNarrow returns the deployment with classes that all call the narrow
-// service, so that a flood of any class reaches it. No caller waits longer than
-// the limit, which bounds the time that a trial takes to end.
+// AllThroughBottleneck returns the deployment with classes that all call the
+// bottleneck service, so that a flood of any class reaches it. No caller waits
+// longer than the limit, which bounds the time that a trial takes to end.
 func (d Deployment) AllThroughBottleneck(limit time.Duration) Deployment {
 	d.Services = slices.Clone(d.Services)
 	for i := range d.Services {
 		s := &d.Services[i]
 		s.Work = slices.Clone(s.Work)
 		for j, w := range s.Work {
-			if slices.Contains(d.BypassingClasses, loadplan.ClassName(w)) {
+			if slices.Contains(d.Bypassing, loadplan.ClassName(w)) {
 				s.Work[j] = fmt.Sprintf("%s=%s/%s", w, d.Bottleneck, d.DeepestKind)
 			}
 		}
 	}
-	d.BypassingClasses = nil
+	d.Bypassing = nil
 	d.Classes = slices.Clone(d.Classes)
 	for i := range d.Classes {
 		c := &d.Classes[i]
@@ -158,7 +161,7 @@
 	return d
 }
 
-// Plan returns the plan of a load with the phases.
+// Plan returns a load plan of all classes with the phases.
 func (d Deployment) Plan(phases []loadplan.Phase) loadplan.Plan {
 	plan := loadplan.Plan{Phases: phases}
 	for _, c := range d.Classes {
@@ -167,6 +170,4 @@
 	return plan
 }
 
-func (d Deployment) elsewhere(n loadplan.ClassName) bool {
-	return slices.Contains(d.BypassingClasses, n)
-}
+func (d Deployment) bypasses(n loadplan.ClassName) bool { return slices.Contains(d.Bypassing, n) }
--- a/bench/deployment/deployment_test.go
+++ b/bench/deployment/deployment_test.go
@@ -9,8 +9,8 @@
 	"github.com/cassiatally/cassiatally/standin/loadplan"
 )
 
-// TestCapacityFollowsTheScale guards against loads that are stated in multiples
-// of a capacity that the backend servers do not have.
+// TestCapacityFollowsTheScale guards against a capacity that the backend servers do
+// not have. Loads are stated in multiples of it.
 func TestCapacityFollowsTheScale(t *testing.T) {
 	cases := map[string]struct {
 		name  Name
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestMixedLoadReachesTheNarrowService guards against a load whose classes that
-// do not call the narrow service are counted as load on it.
-func TestMixedLoadReachesTheNarrowService(t *testing.T) {
+// TestMixedRatesReachTheBottleneck guards against counting classes that do not call
+// the bottleneck service as load on it.
+func TestMixedRatesReachTheBottleneck(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(string(name), func(t *testing.T) {
 			is := is.New(t)
@@ -41,7 +41,7 @@
 			is.NoErr(err)
 			sum := loadplan.Rate(0)
 			for class, rate := range d.MixedRates(1.5) {
-				if !d.elsewhere(class) {
+				if !d.bypasses(class) {
 					sum += rate
 				}
 			}
@@ -50,8 +50,9 @@
 	}
 }
 
-// TestNamedRefusesWrongInputs guards against service times of zero or below.
-func TestNamedRefusesWrongInputs(t *testing.T) {
+// TestNamedRefusesInvalidInputs guards against unknown deployments and against
+// scales that give service times of zero or below, or rates above the stated ones.
+func TestNamedRefusesInvalidInputs(t *testing.T) {
 	cases := map[string]struct {
 		name  Name
 		scale float64
--- a/bench/deployment/named.go
+++ b/bench/deployment/named.go
@@ -9,27 +9,29 @@
 
 const (
 	kibi = 1 << 10
-	// resends is how often callers send a request again after a timeout.
-	resends = 2
-	lookups = 3
+	// maxResends is how often callers send a request again after a timeout.
+	maxResends = 2
+	// maxLookups bounds how often callers query the outcome of a key.
+	maxLookups = 3
 )
 
-// class returns a class whose callers time out at the target and then send the
-// request again.
-func class(name, service, kind string, target time.Duration, part float64) Class {
+// newClass returns a class whose callers time out at the target time and then send
+// the request again.
+func newClass(name, service, kind string, target time.Duration, part float64) Class {
 	return Class{Weight: part, Class: loadplan.Class{
 		Name: loadplan.ClassName(name), Service: cassiatally.Service(service), Kind: cassiatally.WorkKind(kind),
 		Tenants: []cassiatally.Tenant{"north", "south", "east", "west"},
 		Timeout: target, Target: target, BodySize: kibi,
-		Resend: loadplan.Resend{Policy: loadplan.ResendHard, Count: resends},
+		Resend: loadplan.Resend{Policy: loadplan.ResendHard, Count: maxResends},
 	}}
 }
 
-// keyed returns a class of work that is not idempotent.
-func keyed(name, service, kind string, target time.Duration, part float64) Class {
-	c := class(name, service, kind, target, part)
+// newKeyedClass returns a class of work that is not idempotent, whose requests
+// carry idempotency keys.
+func newKeyedClass(name, service, kind string, target time.Duration, part float64) Class {
+	c := newClass(name, service, kind, target, part)
 	c.Keyed = true
-	c.Lookups = lookups
+	c.Lookups = maxLookups
 	return c
 }
 
@@ -46,16 +48,16 @@
 			{Name: "depot-svc", Slots: 110, Connections: 750, Work: []string{"reserve", "check_stock=" + check, "report"}},
 		},
 		Classes: []Class{
-			// At 6 times capacity the most urgent work alone still fits.
-			keyed("confirm", "booking-svc", "confirm", 2*time.Second, 0.1),
-			class("check", "avail-svc", "check", 800*time.Millisecond, 0.25),
-			class("stock", "depot-svc", "check_stock", 800*time.Millisecond, 0.25),
-			class("view", "dispatch-svc", "view_schedule", 1500*time.Millisecond, 0.2),
-			class("report", "depot-svc", "report", 10*time.Second, 0.2),
+			// At 6 times capacity, the most urgent work alone is still below capacity.
+			newKeyedClass("confirm", "booking-svc", "confirm", 2*time.Second, 0.1),
+			newClass("check", "avail-svc", "check", 800*time.Millisecond, 0.25),
+			newClass("stock", "depot-svc", "check_stock", 800*time.Millisecond, 0.25),
+			newClass("view", "dispatch-svc", "view_schedule", 1500*time.Millisecond, 0.2),
+			newClass("report", "depot-svc", "report", 10*time.Second, 0.2),
 		},
-		BypassingClasses: []loadplan.ClassName{"report"},
-		CallerLatency:    time.Millisecond,
-		Sheet:            "examples/barrier/sheet.csv",
+		Bypassing:     []loadplan.ClassName{"report"},
+		CallerLatency: time.Millisecond,
+		Sheet:         "examples/barrier/sheet.csv",
 	}
 }
 
@@ -72,11 +74,11 @@
 			{Name: "pormularyo", Slots: 90, Connections: 630, Work: []string{"fill=" + verify, "export=" + verify}},
 		},
 		Classes: []Class{
-			// At 6 times capacity the most urgent work alone still fits.
-			class("prior_filings", "archivo", "prior_filings", 800*time.Millisecond, 0.05),
-			keyed("sign", "kasunduan", "sign", 2*time.Second, 0.05),
-			class("fill", "pormularyo", "fill", 1500*time.Millisecond, 0.4),
-			class("export", "pormularyo", "export", 10*time.Second, 0.5),
+			// At 6 times capacity, the most urgent work alone is still below capacity.
+			newClass("prior_filings", "archivo", "prior_filings", 800*time.Millisecond, 0.05),
+			newKeyedClass("sign", "kasunduan", "sign", 2*time.Second, 0.05),
+			newClass("fill", "pormularyo", "fill", 1500*time.Millisecond, 0.4),
+			newClass("export", "pormularyo", "export", 10*time.Second, 0.5),
 		},
 		CallerLatency: 8 * time.Millisecond,
 		Sheet:         "examples/intake/sheet.yaml",
