--- a/bench/launcher/launcher.go
+++ b/bench/launcher/launcher.go
@@ -1,9 +1,9 @@
 // Package launcher starts the programs of a trial as child processes and ends
 // all of them.
 //
-// One duty starts all processes. It is locked to its thread, and the kernel ends
-// each child when that thread ends, so no process outlives the program, even
-// when it is killed.
+// One duty starts all processes. It is locked to its thread, and the kernel kills
+// each child when that thread ends (Pdeathsig), so no process outlives the program,
+// even when the program is killed.
 //
 // # Usage
 //
@@ -31,13 +31,13 @@
 
 const (
 	inboxCapacity = 64
-	// startLimit bounds the time until a process listens; it is generous, since
-	// the machine is shared.
-	startLimit = 30 * time.Second
-	// stopLimit bounds the time until a process ends by itself after SIGTERM. The
-	// nodes of a fleet that ends as a whole cannot hand over their shards and
-	// would wait for their whole drain timeout.
-	stopLimit = time.Second
+	// startTimeout bounds the time until a process listens. It is long, since the
+	// machine is shared.
+	startTimeout = 30 * time.Second
+	// stopTimeout bounds the time from SIGTERM to SIGKILL. When all nodes of a fleet
+	// stop, they cannot hand over their shards and would wait for their whole drain
+	// timeout.
+	stopTimeout = time.Second
 )
 
 // Program is a program to start.
@@ -48,32 +48,32 @@
 	Args []string
 }
 
-// Launcher starts processes and ends them.
+// Launcher starts processes and ends all of them on Close.
 type Launcher struct {
 	// Logs is the folder for the output of the processes.
 	Logs string
-	// Environment is added to the environment of each process.
+	// Environment holds KEY=VALUE entries added to the environment of each process.
 	Environment []string
 
-	inbox *ring.Ring[order]
+	inbox *ring.Ring[startRequest]
 	wg    sync.WaitGroup
-	// started is owned by the duty until it has ended.
-	started []*Process
+	// processes is owned by the duty until it has ended.
+	processes []*Process
 }
 
-// order asks the duty to start a process.
-type order struct {
+// startRequest asks the duty to start a process.
+type startRequest struct {
 	process *Process
 	reply   chan error
 }
 
 // Run starts the duty.
 func (l *Launcher) Run() {
-	l.inbox = ring.New[order](inboxCapacity, ring.Wait)
+	l.inbox = ring.New[startRequest](inboxCapacity, ring.Wait)
 	l.wg.Go(l.run)
 }
 
-// Close ends all processes and waits for their end.
+// Close ends all processes, with SIGTERM and then SIGKILL, and waits for their end.
 func (l *Launcher) Close() {
 	l.inbox.Close()
 	l.wg.Wait()
@@ -83,44 +83,44 @@
 	// The thread is not unlocked, so it ends with this goroutine.
 	runtime.LockOSThread()
 	for {
-		o, ok := l.inbox.Pop(context.Background())
+		r, ok := l.inbox.Pop(context.Background())
 		if !ok {
 			l.stopAll()
 			return
 		}
-		err := o.process.start()
+		err := r.process.start()
 		if err == nil {
-			l.started = append(l.started, o.process)
+			l.processes = append(l.processes, r.process)
 		}
-		o.reply <- err
+		r.reply <- err
 	}
 }
 
 func (l *Launcher) stopAll() {
-	for _, p := range l.started {
+	for _, p := range l.processes {
 		p.Signal(syscall.SIGTERM)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), stopLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	for _, p := range l.started {
+	for _, p := range l.processes {
 		p.waitExit(ctx)
 	}
-	for _, p := range l.started {
+	for _, p := range l.processes {
 		p.Kill()
 	}
 }
 
-// Launch starts a process and waits for its listening line.
+// Launch starts a process and waits until it prints the addresses it listens on.
 func (l *Launcher) Launch(ctx context.Context, program Program) (*Process, error) {
 	p, err := l.prepare(ctx, program)
 	if err != nil {
 		return nil, err
 	}
-	o := order{process: p, reply: make(chan error, 1)}
-	if !l.inbox.Push(ctx, o) {
+	r := startRequest{process: p, reply: make(chan error, 1)}
+	if !l.inbox.Push(ctx, r) {
 		return nil, errors.New("the launcher is closed")
 	}
-	if err := <-o.reply; err != nil {
+	if err := <-r.reply; err != nil {
 		return nil, errors.Wrapf(err, "starting %s", program.Name)
 	}
 	return p, p.waitListening(ctx)
@@ -131,20 +131,20 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "opening the log of a process")
 	}
-	// The process has to outlive the context of the call that starts it.
+	// The process outlives the context of the call that starts it.
 	cmd := exec.CommandContext(context.WithoutCancel(ctx), program.Path, program.Args...)
 	cmd.Env = append(os.Environ(), l.Environment...)
 	cmd.Stderr = logFile
-	// An own process group keeps an interrupt at the terminal from the children,
-	// so that they are ended in order.
+	// A process group of its own keeps the child from receiving an interrupt of the
+	// terminal, so that Close ends it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	return &Process{
 		Name: program.Name, cmd: cmd, logFile: logFile,
-		line: make(chan string, 1), exited: make(chan struct{}),
+		listeningLine: make(chan string, 1), exited: make(chan struct{}),
 	}, nil
 }
 
-// SmallHost returns the environment of processes on small hosts: two processors
-// each. It also keeps 35 Go programs from taking 10 threads each for their
-// scheduling on the shared machine.
+// SmallHostEnvironment returns the environment of processes on small hosts: two
+// processors each. It also keeps the schedulers of 35 Go programs from taking 10
+// threads each on the shared machine.
 func SmallHostEnvironment() []string { return []string{"GOMAXPROCS=2"} }
--- a/bench/launcher/launcher_test.go
+++ b/bench/launcher/launcher_test.go
@@ -12,8 +12,9 @@
 	"github.com/matryer/is"
 )
 
-// stubborn ignores SIGTERM, as a node does whose drain cannot end.
-const stubborn = `trap "" TERM; echo "route name=a listen=127.0.0.1:1 target=127.0.0.1:2"; echo "listening address=127.0.0.1:3"; while :; do sleep 0.1; done`
+// ignoresSIGTERM is a script that listens and ignores SIGTERM, like a node whose
+// drain cannot finish.
+const ignoresSIGTERM = `trap "" TERM; echo "route name=a listen=127.0.0.1:1 target=127.0.0.1:2"; echo "listening address=127.0.0.1:3"; while :; do sleep 0.1; done`
 
 func launch(t *testing.T, l *Launcher, name, script string) (*Process, error) {
 	t.Helper()
@@ -22,15 +23,16 @@
 
 func running(p *Process) bool { return syscall.Kill(int(p.PID()), 0) == nil }
 
-// TestCloseEndsAllProcesses guards against processes that outlive a trial: Close
-// once waited for the whole drain timeout of each process after the first.
+// TestCloseEndsAllProcesses guards against processes that outlive a trial, and
+// against Close waiting for the whole drain timeout of each process after the
+// first.
 func TestCloseEndsAllProcesses(t *testing.T) {
 	is := is.New(t)
 	l := &Launcher{Logs: t.TempDir()}
 	l.Run()
-	first, err := launch(t, l, "first", stubborn)
+	first, err := launch(t, l, "first", ignoresSIGTERM)
 	is.NoErr(err)
-	second, err := launch(t, l, "second", stubborn)
+	second, err := launch(t, l, "second", ignoresSIGTERM)
 	is.NoErr(err)
 	is.Equal(first.Listening["address"], "127.0.0.1:3")
 	is.Equal(first.Routes["a"], "127.0.0.1:1")
@@ -39,9 +41,9 @@
 	is.True(!running(first) && !running(second))
 }
 
-// TestLaunchReportsAnEarlyEnd guards against a trial that waits for a process
-// which has ended, and against errors that do not name the log file.
-func TestLaunchReportsAnEarlyEnd(t *testing.T) {
+// TestLaunchReportsEarlyExit guards against a trial that waits for a process that
+// has ended, and against errors that do not name the log file.
+func TestLaunchReportsEarlyExit(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	l := &Launcher{Logs: folder}
@@ -56,9 +58,9 @@
 	is.Equal(string(logged), "no settings\n")
 }
 
-// TestCancelledLaunchIsEnded guards against a process left behind when a signal
-// arrives while it starts.
-func TestCancelledLaunchIsEnded(t *testing.T) {
+// TestCancelledLaunchEndsProcess guards against a process left behind when a signal
+// to the program cancels its launch.
+func TestCancelledLaunchEndsProcess(t *testing.T) {
 	is := is.New(t)
 	l := &Launcher{Logs: t.TempDir()}
 	l.Run()
--- a/bench/launcher/process.go
+++ b/bench/launcher/process.go
@@ -20,16 +20,17 @@
 // Process is one started process.
 type Process struct {
 	Name string
-	// Listening has the fields of the line that tells where the process listens,
-	// such as address.
+	// Listening has the key=value fields of the line that the process prints once it
+	// listens, such as address.
 	Listening map[string]string
-	// Routes has the address of each route that a fault proxy printed.
+	// Routes has the listening address of each route that a fault proxy printed, by
+	// name.
 	Routes map[string]string
 
-	cmd     *exec.Cmd
-	logFile *os.File
-	line    chan string
-	exited  chan struct{}
+	cmd           *exec.Cmd
+	logFile       *os.File
+	listeningLine chan string
+	exited        chan struct{}
 }
 
 // PID returns the id of the process.
@@ -43,12 +44,12 @@
 	select {
 	case <-p.exited:
 	default:
-		// The process may end in between; then there is nothing to do.
+		// The process may have ended in the meantime; then the error does not matter.
 		_ = p.cmd.Process.Signal(s)
 	}
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill ends the process with SIGKILL and waits for its end.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	<-p.exited
@@ -67,48 +68,48 @@
 	return nil
 }
 
-// watch is the duty that copies the output, reports the listening line, and
-// waits for the end.
+// watch is the duty that copies the output to the log file, passes on the listening
+// line, and waits for the end of the process.
 func (p *Process) watch(stdout io.Reader) {
 	defer close(p.exited)
 	defer p.logFile.Close()
-	reported := false
+	listening := false
 	lines := bufio.NewScanner(stdout)
 	for lines.Scan() {
 		fmt.Fprintln(p.logFile, lines.Text())
-		if reported {
+		if listening {
 			continue
 		}
 		if values, ok := parseLine(lines.Text(), "route "); ok {
 			p.Routes[values["name"]] = values["listen"]
 		}
 		if _, ok := parseLine(lines.Text(), "listening "); ok {
-			reported = true
-			p.line <- lines.Text()
+			listening = true
+			p.listeningLine <- lines.Text()
 		}
 	}
-	// The exit status tells nothing: most processes end by a signal.
+	// The exit status is ignored, since most processes end by a signal.
 	_ = p.cmd.Wait()
 }
 
 func (p *Process) waitListening(ctx context.Context) error {
-	timer := time.NewTimer(startLimit)
+	timer := time.NewTimer(startTimeout)
 	defer timer.Stop()
 	select {
-	case line := <-p.line:
+	case line := <-p.listeningLine:
 		p.Listening, _ = parseLine(line, "listening ")
 		return nil
 	case <-p.exited:
-		return errors.Newf("%s ended before it listened; %s ends with: %s", p.Name, p.logFile.Name(), p.lastLine())
+		return errors.Newf("%s exited before it listened; the last line of %s: %s", p.Name, p.logFile.Name(), p.lastLine())
 	case <-timer.C:
-		return errors.Newf("%s did not listen within %v; see %s", p.Name, startLimit, p.logFile.Name())
+		return errors.Newf("%s did not listen within %v; see %s", p.Name, startTimeout, p.logFile.Name())
 	case <-ctx.Done():
 		return errors.Wrapf(ctx.Err(), "waiting for %s", p.Name)
 	}
 }
 
-// lastLine returns the last line of the log, which mostly has the reason for an
-// early end.
+// lastLine returns the last line of the log file, which usually has the reason for
+// an early exit.
 func (p *Process) lastLine() string {
 	data, err := os.ReadFile(p.logFile.Name())
 	if err != nil {
@@ -125,7 +126,7 @@
 	}
 }
 
-// parseLine reads the key=value fields of a line that begins with the prefix.
+// parseLine parses the key=value fields of a line that begins with the prefix.
 func parseLine(line, prefix string) (map[string]string, bool) {
 	rest, ok := strings.CutPrefix(line, prefix)
 	if !ok {
