--- a/bench/costmeter/costmeter.go
+++ b/bench/costmeter/costmeter.go
@@ -1,7 +1,7 @@
-// Package costmeter measures what nodes cost: processor, memory and control
-// traffic at rest and at half load, the time that two nodes add to a call, and
+// Package costmeter measures the overhead of nodes: processor, memory and control
+// traffic at rest and at half load, the latency that two nodes add to a call, and
 // the time until a sheet is in force. It also measures the capacity of the
-// narrow service by a saturating direct run.
+// bottleneck service by a saturating run that calls its backend servers directly.
 //
 // # Usage
 //
@@ -31,75 +31,78 @@
 )
 
 const (
-	// eachLoad is the load through nodes and, in the same time, that of direct
-	// calls, so that both see the same noise of the machine at 0.5 in all.
-	eachLoad = 0.25
-	// saturation is the load of the run that measures capacity.
-	saturation = 1.5
-	// directTimeout is longer than the run that measures capacity.
+	// loadPerPath is the load through nodes and, at the same time, that of direct
+	// calls, so that noise of the machine affects both alike. The total is 0.5.
+	loadPerPath = 0.25
+	// saturatingLoad is the load of the run that measures capacity.
+	saturatingLoad = 1.5
+	// directTimeout is longer than the run that measures capacity, so that no request
+	// of it times out early.
 	directTimeout = 20 * time.Second
 	workers       = 2000
-	// settleTime lets the assignment of shards and the first rounds of gossip end
+	// settleTime lets the shard assignment and the first rounds of gossip finish
 	// before the reading at rest.
 	settleTime = 2 * time.Second
-	// firstSheet is the version of the sheet that the fleet started with.
-	firstSheet cassiatally.Version = 1
+	// firstSheetVersion is the version of the sheet that the fleet started with.
+	firstSheetVersion cassiatally.Version = 1
 
-	median     = 0.5
-	percentile = 0.99
+	median = 0.5
+	p99    = 0.99
 )
 
-// Meter measures one fleet, whose links should have no delay.
+// Meter measures one fleet, whose links should have no added delay.
 type Meter struct {
 	Fleet     *deployer.Fleet
 	Publisher *sheetpublisher.Publisher
 	// Sheet is the file of the sheet that is published again.
-	Sheet  string
-	Seed   uint64
+	Sheet string
+	Seed  uint64
+	// Length is the length of each measured run.
 	Length time.Duration
 }
 
 // nodeReading is a reading of one node.
 type nodeReading struct {
-	usage   processmeter.Usage
-	control uint64
+	usage        processmeter.Usage
+	controlBytes uint64
 }
 
 // Measure takes about four times the length of a phase and 2 s.
 func (m *Meter) Measure(ctx context.Context) (*observation.Cost, error) {
 	var c observation.Cost
 	var err error
-	wait(ctx, settleTime)
-	if c.Rest, err = m.use(ctx, func() { wait(ctx, m.Length) }); err != nil {
+	sleep(ctx, settleTime)
+	if c.Rest, err = m.measureUsage(ctx, func() { sleep(ctx, m.Length) }); err != nil {
 		return nil, err
 	}
-	if c.SheetPropagation, err = m.Publisher.Publish(ctx, m.Sheet, firstSheet); err != nil {
+	if c.SheetPropagation, err = m.Publisher.Publish(ctx, m.Sheet, firstSheetVersion); err != nil {
 		return nil, err
 	}
-	m.load(ctx, "warm", eachLoad, false)
-	if c.Busy, err = m.use(ctx, func() { m.compare(ctx, &c) }); err != nil {
+	m.runLoad(ctx, "warm", loadPerPath, false)
+	if c.Busy, err = m.measureUsage(ctx, func() { m.measureAddedLatency(ctx, &c) }); err != nil {
 		return nil, err
 	}
-	c.Capacity = m.capacity(ctx)
+	c.Capacity = m.measureCapacity(ctx)
 	return &c, errors.Wrap(ctx.Err(), "measuring the cost of nodes")
 }
 
-// compare sends through nodes and directly at one time.
-func (m *Meter) compare(ctx context.Context, c *observation.Cost) {
+// measureAddedLatency sends requests through nodes and directly at the same time
+// and compares the latencies.
+func (m *Meter) measureAddedLatency(ctx context.Context, c *observation.Cost) {
 	var wg sync.WaitGroup
 	var through, direct []collector.Result
-	wg.Go(func() { through = m.load(ctx, "through", eachLoad, false) })
-	wg.Go(func() { direct = m.load(ctx, "direct", eachLoad, true) })
+	wg.Go(func() { through = m.runLoad(ctx, "through", loadPerPath, false) })
+	wg.Go(func() { direct = m.runLoad(ctx, "direct", loadPerPath, true) })
 	wg.Wait()
 	c.AddedP50 = quantile(through, median) - quantile(direct, median)
-	c.AddedP99 = quantile(through, percentile) - quantile(direct, percentile)
+	c.AddedP99 = quantile(through, p99) - quantile(direct, p99)
 }
 
-// capacity counts the whole answers of a saturating direct run, but for its
-// first quarter, in which the queues fill.
-func (m *Meter) capacity(ctx context.Context) loadplan.Rate {
+// measureCapacity returns the rate of complete answers in a saturating direct run,
+// without its first quarter, in which the queues fill.
+func (m *Meter) measureCapacity(ctx context.Context) loadplan.Rate {
 	start := time.Now()
-	results := m.load(ctx, "saturated", saturation, true)
+	results := m.runLoad(ctx, "saturated", saturatingLoad, true)
 	from, to := start.Add(m.Length/4), start.Add(m.Length)
 	n := 0
 	for _, r := range results {
@@ -110,8 +113,8 @@
 	return loadplan.Rate(float64(n) / to.Sub(from).Seconds())
 }
 
-// load sends requests for the deep kind of the narrow service.
-func (m *Meter) load(ctx context.Context, phase loadplan.PhaseName, load float64, direct bool) []collector.Result {
+// runLoad sends requests for the deepest kind of work to the bottleneck service.
+func (m *Meter) runLoad(ctx context.Context, phase loadplan.PhaseName, load float64, direct bool) []collector.Result {
 	d := m.Fleet.Deployment
 	class := loadplan.Class{
 		Name: "deep", Service: d.Bottleneck, Kind: d.DeepestKind, Tenants: []cassiatally.Tenant{"bench"},
@@ -129,51 +132,52 @@
 	c := collector.New()
 	l := &loader.Loader{
 		Plan: plan, Name: "cost", Seed: m.Seed, Workers: workers, Results: c,
-		Caller: &caller.Caller{Nodes: m.targets(direct), Client: &http.Client{Transport: transport}, Direct: direct},
+		Caller: &caller.Caller{Nodes: m.targetURLs(direct), Client: &http.Client{Transport: transport}, Direct: direct},
 	}
 	l.Run(ctx)
 	return c.Close()
 }
 
-// targets returns the backend servers of the narrow service, or the nodes of all
-// others, so that a call passes two nodes.
-func (m *Meter) targets(direct bool) []string {
+// targetURLs returns the backend servers of the bottleneck service for direct
+// calls, or else the nodes of all other services, so that a call passes two nodes.
+func (m *Meter) targetURLs(direct bool) []string {
 	var urls []string
 	for _, e := range m.Fleet.Endpoints {
-		narrow := e.Service.Name == m.Fleet.Deployment.Bottleneck
-		if direct && narrow {
+		bottleneck := e.Service.Name == m.Fleet.Deployment.Bottleneck
+		if direct && bottleneck {
 			urls = append(urls, "http://"+e.Backend.Listening["address"])
 		}
-		if !direct && !narrow {
+		if !direct && !bottleneck {
 			urls = append(urls, e.CallerURL)
 		}
 	}
 	return urls
 }
 
-// use returns what the node that uses most uses while f runs.
-func (m *Meter) use(ctx context.Context, f func()) (observation.Usage, error) {
-	before, err := m.read(ctx)
+// measureUsage returns the highest usage of any node, for each resource, while f
+// runs.
+func (m *Meter) measureUsage(ctx context.Context, f func()) (observation.Usage, error) {
+	before, err := m.readNodes(ctx)
 	if err != nil {
 		return observation.Usage{}, err
 	}
 	f()
-	after, err := m.read(ctx)
+	after, err := m.readNodes(ctx)
 	if err != nil {
 		return observation.Usage{}, err
 	}
-	var most observation.Usage
+	var highest observation.Usage
 	for i, a := range after {
 		b := before[i]
 		seconds := a.usage.At.Sub(b.usage.At).Seconds()
-		most.Cores = max(most.Cores, a.usage.CoresSince(b.usage))
-		most.ResidentBytes = max(most.ResidentBytes, float64(a.usage.Resident))
-		most.ControlBytesPerSecond = max(most.ControlBytesPerSecond, float64(a.control-b.control)/seconds)
+		highest.Cores = max(highest.Cores, a.usage.CoresSince(b.usage))
+		highest.ResidentBytes = max(highest.ResidentBytes, float64(a.usage.Resident))
+		highest.ControlBytesPerSecond = max(highest.ControlBytesPerSecond, float64(a.controlBytes-b.controlBytes)/seconds)
 	}
-	return most, nil
+	return highest, nil
 }
 
-func (m *Meter) read(ctx context.Context) ([]nodeReading, error) {
+func (m *Meter) readNodes(ctx context.Context) ([]nodeReading, error) {
 	var all []nodeReading
 	for _, e := range m.Fleet.Endpoints {
 		status, err := m.Fleet.Status.Read(ctx, e.AdminAddress)
@@ -189,7 +193,7 @@
 	return all, nil
 }
 
-// quantile returns a quantile of the latencies of whole answers.
+// quantile returns a quantile of the latencies of complete answers.
 func quantile(results []collector.Result, q float64) time.Duration {
 	var latencies []time.Duration
 	for _, r := range results {
@@ -200,7 +204,7 @@
 	return ranktable.Quantile(latencies, q)
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
