--- a/bench/capacitymeter/capacitymeter.go
+++ b/bench/capacitymeter/capacitymeter.go
@@ -1,5 +1,5 @@
-// Package capacitymeter measures what nodes at rest cost in fleets of several
-// sizes, from which docs/CAPACITY.md takes its slopes.
+// Package capacitymeter measures the resource usage of nodes at rest in fleets of
+// several sizes. docs/CAPACITY.md takes its slopes from the results.
 //
 // # Usage
 //
@@ -28,15 +28,17 @@
 const (
 	// services is the number of services that the endpoints are spread over.
 	services = 8
-	// joinLimit bounds the time until all nodes know each other.
-	joinLimit     = 3 * time.Minute
-	pollPause     = 200 * time.Millisecond
-	announceEvery = time.Second
-	requestLimit  = 5 * time.Second
+	// joinTimeout bounds the time until all nodes have discovered each other.
+	joinTimeout      = 3 * time.Minute
+	pollInterval     = 200 * time.Millisecond
+	announceInterval = time.Second
+	requestTimeout   = 5 * time.Second
 )
 
-// Row is what a node costs in a fleet of a size: means over all nodes, and the
-// most of any node.
+// Row is the resource usage of a node in a fleet of a size. Cores,
+// SentBytesPerSecond and ReceivedBytesPerSecond are means over all nodes;
+// MaxResident and MaxSentBytesPerSecond are the highest of any node. Sent and
+// received bytes are those of control traffic.
 type Row struct {
 	Nodes                  int
 	Cores                  float64
@@ -46,7 +48,7 @@
 	MaxSentBytesPerSecond  float64
 	// Appends counts the records appended to the log since the fleet started.
 	Appends int
-	// Joined is the time until each node knew all others.
+	// JoinTime is the time until all nodes had discovered each other.
 	JoinTime time.Duration
 }
 
@@ -55,8 +57,10 @@
 type Meter struct {
 	Launcher *launcher.Launcher
 	Bin      string
-	Folder   string
-	Length   time.Duration
+	// Folder is where the settings files of the nodes are written.
+	Folder string
+	// Length is the time that the fleet rests, and then that of the reading.
+	Length time.Duration
 	// DataCentres is the number of data centres that a fleet is spread over.
 	DataCentres int
 
@@ -64,26 +68,26 @@
 }
 
 type node struct {
-	process *launcher.Process
-	admin   cassiatally.Address
-	backend string
+	process        *launcher.Process
+	adminAddress   cassiatally.Address
+	backendAddress string
 }
 
 type reading struct {
-	usage          processmeter.Usage
-	sent, received uint64
+	usage                    processmeter.Usage
+	sentBytes, receivedBytes uint64
 }
 
-// Measure starts a fleet, reads it, and ends its nodes.
+// Measure starts a fleet of the size, reads it, and kills its processes.
 func (m *Meter) Measure(ctx context.Context, size int) (Row, error) {
-	m.client.Timeout = requestLimit
+	m.client.Timeout = requestTimeout
 	log, err := m.launch(ctx, fmt.Sprintf("log-%d", size), "cassiatally-standin", "log")
 	if err != nil {
 		return Row{}, err
 	}
 	defer log.Kill()
-	began := time.Now()
-	nodes, err := m.start(ctx, size, log.Listening["address"])
+	started := time.Now()
+	nodes, err := m.startNodes(ctx, size, log.Listening["address"])
 	defer func() {
 		for _, n := range nodes {
 			n.process.Kill()
@@ -92,17 +96,17 @@
 	if err != nil {
 		return Row{}, err
 	}
-	stop := m.announce(ctx, nodes)
+	stop := m.startAnnouncing(ctx, nodes)
 	defer stop()
 	if err := m.waitJoined(ctx, nodes); err != nil {
 		return Row{}, err
 	}
-	row := Row{Nodes: size, JoinTime: time.Since(began)}
-	m.wait(ctx, m.Length)
-	if err := m.read(ctx, nodes, &row); err != nil {
+	row := Row{Nodes: size, JoinTime: time.Since(started)}
+	m.sleep(ctx, m.Length)
+	if err := m.readUsage(ctx, nodes, &row); err != nil {
 		return Row{}, err
 	}
-	row.Appends, err = m.appends(ctx, log.Listening["address"])
+	row.Appends, err = m.readAppends(ctx, log.Listening["address"])
 	return row, err
 }
 
@@ -110,20 +114,20 @@
 	return m.Launcher.Launch(ctx, launcher.Program{Name: name, Path: filepath.Join(m.Bin, program), Args: args})
 }
 
-func (m *Meter) start(ctx context.Context, size int, log string) ([]node, error) {
+func (m *Meter) startNodes(ctx context.Context, size int, log string) ([]node, error) {
 	var nodes []node
 	seed := ""
 	for i := range size {
 		name := fmt.Sprintf("n%d-%d", size, i)
 		file := filepath.Join(m.Folder, name+".yaml")
-		if err := os.WriteFile(file, []byte(settings(name, m.dataCentre(i), log, seed)), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(nodeSettings(name, m.dataCentre(i), log, seed)), 0o600); err != nil {
 			return nodes, errors.Wrap(err, "writing the settings of a node")
 		}
 		p, err := m.launch(ctx, name, "cassiatally-node", "--settings", file)
 		if err != nil {
 			return nodes, err
 		}
-		nodes = append(nodes, node{process: p, admin: cassiatally.Address(p.Listening["admin"]), backend: p.Listening["backend"]})
+		nodes = append(nodes, node{process: p, adminAddress: cassiatally.Address(p.Listening["admin"]), backendAddress: p.Listening["backend"]})
 		if seed == "" {
 			seed = p.Listening["links"]
 		}
@@ -133,28 +137,29 @@
 
 func (m *Meter) dataCentre(i int) string { return fmt.Sprintf("dc-%d", i%m.DataCentres) }
 
-func settings(name, dataCentre, log, seed string) string {
-	const any = `"127.0.0.1:0"`
+func nodeSettings(name, dataCentre, log, seed string) string {
+	const anyPort = `"127.0.0.1:0"`
 	text := fmt.Sprintf("node: {id: %s, data_centre: %s}\nlisten: {callers: %s, backend: %s, links: %s, admin: %s}\nlog: {address: %q}\nlog_level: warn\n",
-		name, dataCentre, any, any, any, any, "http://"+log)
+		name, dataCentre, anyPort, anyPort, anyPort, anyPort, "http://"+log)
 	if seed != "" {
 		text += fmt.Sprintf("seeds: [%q]\n", seed)
 	}
 	return text
 }
 
-// announce repeats the announcements of all backend servers, which do not exist:
-// no request is sent.
-func (m *Meter) announce(ctx context.Context, nodes []node) (stop func()) {
+// startAnnouncing announces a backend server to each node every announceInterval
+// until stop is called. The backend servers need not exist, since no requests are
+// sent.
+func (m *Meter) startAnnouncing(ctx context.Context, nodes []node) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		ticker := time.NewTicker(announceEvery)
+		ticker := time.NewTicker(announceInterval)
 		defer ticker.Stop()
 		for ctx.Err() == nil {
 			for i, n := range nodes {
-				m.announceOne(ctx, i, n)
+				m.announceBackend(ctx, i, n)
 			}
 			select {
 			case <-ticker.C:
@@ -168,9 +173,9 @@
 	}
 }
 
-func (m *Meter) announceOne(ctx context.Context, i int, n node) {
+func (m *Meter) announceBackend(ctx context.Context, i int, n node) {
 	body := fmt.Sprintf(`{"service":"service-%d","address":"127.0.0.1:9","slots":100,"connections":700,"state":"ready"}`, i%services)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+n.backend+"/v1/announce", bytes.NewBufferString(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+n.backendAddress+"/v1/announce", bytes.NewBufferString(body))
 	if err != nil {
 		return
 	}
@@ -185,10 +190,10 @@
 	for i := range nodes {
 		sizes[m.dataCentre(i)]++
 	}
-	for deadline := time.Now().Add(joinLimit); time.Now().Before(deadline); m.wait(ctx, pollPause) {
+	for deadline := time.Now().Add(joinTimeout); time.Now().Before(deadline); m.sleep(ctx, pollInterval) {
 		joined := 0
 		for _, n := range nodes {
-			if s, err := reader.Read(ctx, n.admin); err == nil && knowsAll(s, sizes) {
+			if s, err := reader.Read(ctx, n.adminAddress); err == nil && listsMembers(s, sizes) {
 				joined++
 			}
 		}
@@ -199,20 +204,21 @@
 			return err
 		}
 	}
-	return errors.Newf("the %d nodes did not know each other within %v", len(nodes), joinLimit)
+	return errors.Newf("the %d nodes did not discover each other within %v", len(nodes), joinTimeout)
 }
 
-// knowsAll reports whether a node knows all members of its own data centre and
-// some of each other one.
-func knowsAll(s statusreader.Status, sizes map[string]int) bool {
-	known := make(map[string]int, len(sizes))
+// listsMembers reports whether the status of a node lists all members of its own
+// data centre and at least one of each other data centre. The sizes are the numbers
+// of members by data centre.
+func listsMembers(s statusreader.Status, sizes map[string]int) bool {
+	listed := make(map[string]int, len(sizes))
 	for i := range s.Members {
-		known[s.Members[i].DataCentre]++
+		listed[s.Members[i].DataCentre]++
 	}
-	return known[s.DataCentre] == sizes[s.DataCentre] && len(known) == len(sizes)
+	return listed[s.DataCentre] == sizes[s.DataCentre] && len(listed) == len(sizes)
 }
 
-func (m *Meter) wait(ctx context.Context, d time.Duration) {
+func (m *Meter) sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -221,34 +227,34 @@
 	}
 }
 
-func (m *Meter) read(ctx context.Context, nodes []node, row *Row) error {
-	before, err := m.readAll(ctx, nodes)
+func (m *Meter) readUsage(ctx context.Context, nodes []node, row *Row) error {
+	before, err := m.readNodes(ctx, nodes)
 	if err != nil {
 		return err
 	}
-	m.wait(ctx, m.Length)
-	after, err := m.readAll(ctx, nodes)
+	m.sleep(ctx, m.Length)
+	after, err := m.readNodes(ctx, nodes)
 	if err != nil {
 		return err
 	}
 	count := float64(len(nodes))
 	for i := range nodes {
 		seconds := after[i].usage.At.Sub(before[i].usage.At).Seconds()
-		sent := float64(after[i].sent-before[i].sent) / seconds
+		sent := float64(after[i].sentBytes-before[i].sentBytes) / seconds
 		row.Cores += after[i].usage.CoresSince(before[i].usage) / count
 		row.MaxResident = max(row.MaxResident, after[i].usage.Resident)
 		row.SentBytesPerSecond += sent / count
-		row.ReceivedBytesPerSecond += float64(after[i].received-before[i].received) / seconds / count
+		row.ReceivedBytesPerSecond += float64(after[i].receivedBytes-before[i].receivedBytes) / seconds / count
 		row.MaxSentBytesPerSecond = max(row.MaxSentBytesPerSecond, sent)
 	}
 	return nil
 }
 
-func (m *Meter) readAll(ctx context.Context, nodes []node) ([]reading, error) {
+func (m *Meter) readNodes(ctx context.Context, nodes []node) ([]reading, error) {
 	reader := &statusreader.Reader{Client: &m.client}
 	out := make([]reading, len(nodes))
 	for i, n := range nodes {
-		s, err := reader.Read(ctx, n.admin)
+		s, err := reader.Read(ctx, n.adminAddress)
 		if err != nil {
 			return nil, err
 		}
@@ -256,12 +262,12 @@
 		if err != nil {
 			return nil, err
 		}
-		out[i] = reading{usage: usage, sent: s.Traffic.ControlSent, received: s.Traffic.ControlReceived}
+		out[i] = reading{usage: usage, sentBytes: s.Traffic.ControlSent, receivedBytes: s.Traffic.ControlReceived}
 	}
 	return out, nil
 }
 
-func (m *Meter) appends(ctx context.Context, log string) (int, error) {
+func (m *Meter) readAppends(ctx context.Context, log string) (int, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+log+"/v1/control", nil)
 	if err != nil {
 		return 0, errors.Wrap(err, "building a request")
