--- a/bench/processmeter/processmeter.go
+++ b/bench/processmeter/processmeter.go
@@ -5,7 +5,7 @@
 //
 //	before, err := processmeter.Meter{}.Read(pid)
 //	after, err := processmeter.Meter{}.Read(pid)
-//	part := after.Share(before)
+//	cores := after.CoresSince(before)
 package processmeter
 
 import (
@@ -21,28 +21,30 @@
 )
 
 const (
-	// tick is the unit of processor times in /proc; it is 10 ms on all Linux
-	// systems for programs.
-	tick = 10 * time.Millisecond
-	kibi = 1 << 10
-	// userField and systemField count from the field after the command's name.
-	userField   = 11
-	systemField = 12
-	residentTag = "VmRSS:"
+	// clockTick is the unit of processor times in /proc. Linux shows user space a
+	// tick of 10 ms on all systems.
+	clockTick = 10 * time.Millisecond
+	kibi      = 1 << 10
+	// userField and systemField are indices into the fields of /proc/PID/stat that
+	// follow the name of the command.
+	userField      = 11
+	systemField    = 12
+	residentPrefix = "VmRSS:"
 )
 
 // Bytes is a size in memory.
 type Bytes uint64
 
-// Usage is what a process has used until a time.
+// Usage is the processor time that a process has used in all and its resident
+// memory, both read at one time.
 type Usage struct {
 	At            time.Time
 	ProcessorTime time.Duration
 	Resident      Bytes
 }
 
-// Share returns the part of one core that the process used since an earlier
-// reading.
+// CoresSince returns the mean number of cores that the process used since an
+// earlier reading; 0 when no time has passed.
 func (u Usage) CoresSince(earlier Usage) float64 {
 	elapsed := u.At.Sub(earlier.At)
 	if elapsed <= 0 {
@@ -51,10 +53,10 @@
 	return float64(u.ProcessorTime-earlier.ProcessorTime) / float64(elapsed)
 }
 
-// Meter reads processes.
+// Meter reads the usage of processes.
 type Meter struct{}
 
-// Read returns what a process has used.
+// Read returns the usage of a process.
 func (Meter) Read(pid launcher.PID) (Usage, error) {
 	folder := fmt.Sprintf("/proc/%d/", pid)
 	stat, err := os.ReadFile(folder + "stat")
@@ -66,27 +68,27 @@
 		return Usage{}, errors.Wrap(err, "reading the memory of a process")
 	}
 	u := Usage{At: time.Now()}
-	if u.ProcessorTime, err = parseStat(string(stat)); err != nil {
+	if u.ProcessorTime, err = parseProcessorTime(string(stat)); err != nil {
 		return u, err
 	}
-	u.Resident, err = parseStatus(string(status))
+	u.Resident, err = parseResident(string(status))
 	return u, err
 }
 
-func parseStat(text string) (time.Duration, error) {
-	// The name of the command is in brackets and may hold blanks.
+func parseProcessorTime(text string) (time.Duration, error) {
+	// The name of the command is in brackets and may contain blanks and brackets.
 	fields := strings.Fields(text[strings.LastIndex(text, ")")+1:])
 	if len(fields) <= systemField {
 		return 0, errors.New("the processor times of a process are missing")
 	}
 	user, errUser := strconv.ParseInt(fields[userField], 10, 64)
 	system, errSystem := strconv.ParseInt(fields[systemField], 10, 64)
-	return time.Duration(user+system) * tick, errors.CombineErrors(errUser, errSystem)
+	return time.Duration(user+system) * clockTick, errors.CombineErrors(errUser, errSystem)
 }
 
-func parseStatus(text string) (Bytes, error) {
+func parseResident(text string) (Bytes, error) {
 	for line := range strings.Lines(text) {
-		rest, ok := strings.CutPrefix(line, residentTag)
+		rest, ok := strings.CutPrefix(line, residentPrefix)
 		if !ok {
 			continue
 		}
--- a/bench/processmeter/processmeter_test.go
+++ b/bench/processmeter/processmeter_test.go
@@ -10,9 +10,9 @@
 	"github.com/cassiatally/cassiatally/bench/launcher"
 )
 
-// TestParseStat guards against fields that shift when the name of a command
-// holds blanks or brackets.
-func TestParseStat(t *testing.T) {
+// TestParseProcessorTime guards against reading the wrong fields when the name of a
+// command contains blanks or brackets.
+func TestParseProcessorTime(t *testing.T) {
 	const rest = " S 1 2 3 4 5 6 7 8 9 10 150 50 0 0 20 0"
 	cases := map[string]struct {
 		text   string
@@ -27,25 +27,25 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			got, err := parseStat(c.text)
+			got, err := parseProcessorTime(c.text)
 			is.Equal(err != nil, c.failed)
 			is.Equal(got, c.want)
 		})
 	}
 }
 
-// TestParseStatus guards against a size in KiB that is taken for bytes.
-func TestParseStatus(t *testing.T) {
+// TestParseResident guards against taking a size in KiB for one in bytes.
+func TestParseResident(t *testing.T) {
 	is := is.New(t)
-	got, err := parseStatus("Name:\tnode\nVmRSS:\t    24 kB\nThreads:\t9\n")
+	got, err := parseResident("Name:\tnode\nVmRSS:\t    24 kB\nThreads:\t9\n")
 	is.NoErr(err)
 	is.Equal(got, Bytes(24<<10))
-	_, err = parseStatus("Name:\tnode\n")
+	_, err = parseResident("Name:\tnode\n")
 	is.True(err != nil)
 }
 
-// TestShare guards against a division by no time.
-func TestShare(t *testing.T) {
+// TestCoresSince guards against a division by zero when no time has passed.
+func TestCoresSince(t *testing.T) {
 	is := is.New(t)
 	start := Usage{At: time.Unix(100, 0), ProcessorTime: time.Second}
 	later := Usage{At: time.Unix(110, 0), ProcessorTime: 1500 * time.Millisecond}
@@ -53,7 +53,7 @@
 	is.Equal(start.CoresSince(start), 0.0)
 }
 
-// TestReadOwnProcess guards against a form of /proc that the meter cannot read.
+// TestReadOwnProcess guards against a format of /proc that the meter cannot parse.
 func TestReadOwnProcess(t *testing.T) {
 	is := is.New(t)
 	u, err := Meter{}.Read(launcher.PID(os.Getpid()))
