--- a/bench/collector/collector.go
+++ b/bench/collector/collector.go
@@ -1,4 +1,4 @@
-// Package collector keeps what callers were told and when, for one trial.
+// Package collector collects the results that callers received in one trial.
 //
 // # Usage
 //
@@ -18,13 +18,13 @@
 
 const inboxCapacity = 8192
 
-// Result is what a caller was told and when.
+// Result is the outcome that was reported to a caller, and when.
 type Result struct {
 	core.Told
 	At time.Time
 }
 
-// Collector is the duty that keeps the results.
+// Collector collects results in a duty of its own.
 type Collector struct {
 	owner *owner.Owner[state]
 	state state
@@ -32,36 +32,36 @@
 
 type state struct {
 	results []Result
-	whole   int
+	inTime  int
 }
 
-// New starts a collector.
+// New starts the duty of a collector.
 func New() *Collector {
 	c := &Collector{}
 	c.owner = owner.New(&c.state, inboxCapacity)
 	return c
 }
 
-// Push keeps a result; it waits while the ring is full.
+// Push adds a result with the present time; it waits while the ring is full.
 func (c *Collector) Push(ctx context.Context, t core.Told) bool {
 	r := Result{Told: t, At: time.Now()}
 	err := c.owner.Do(ctx, func(s *state) {
 		s.results = append(s.results, r)
 		if t.InTime {
-			s.whole++
+			s.inTime++
 		}
 	})
 	return err == nil
 }
 
-// Count returns the number of results and how many of them are whole and in
-// time.
-func (c *Collector) Count(ctx context.Context) (all, whole int) {
-	_ = c.owner.Do(ctx, func(s *state) { all, whole = len(s.results), s.whole })
-	return all, whole
+// Count returns the number of results and how many of them are complete answers
+// that arrived in time.
+func (c *Collector) Count(ctx context.Context) (all, inTime int) {
+	_ = c.owner.Do(ctx, func(s *state) { all, inTime = len(s.results), s.inTime })
+	return all, inTime
 }
 
-// Close ends the duty and returns the results in the order of their times.
+// Close ends the duty and returns the results in order of time.
 func (c *Collector) Close() []Result {
 	c.owner.Close()
 	return c.state.results
