--- a/bench/statusreader/statusreader.go
+++ b/bench/statusreader/statusreader.go
@@ -1,4 +1,4 @@
-// Package statusreader reads what a node tells operators.
+// Package statusreader reads the status that a node serves to operators.
 //
 // # Usage
 //
@@ -39,12 +39,12 @@
 	} `json:"traffic"`
 }
 
-// ServiceStatus adds up the endpoints of a service in a data centre.
+// ServiceStatus counts the endpoints of a service in one data centre.
 type ServiceStatus struct {
 	Endpoints int `json:"endpoints"`
 }
 
-// Endpoints returns how many endpoints the node knows.
+// EndpointCount returns the number of endpoints that the node lists.
 func (s Status) EndpointCount() int {
 	sum := 0
 	for _, service := range s.Services {
@@ -58,7 +58,7 @@
 	Client *http.Client
 }
 
-// Read returns the status of the node with the address for operators.
+// Read returns the status of the node that serves operators at the address.
 func (r *Reader) Read(ctx context.Context, admin cassiatally.Address) (Status, error) {
 	var s Status
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+string(admin)+"/v1/status", http.NoBody)
