--- a/bench/sheetbook/sheetbook.go
+++ b/bench/sheetbook/sheetbook.go
@@ -1,5 +1,4 @@
-// Package sheetbook tells what the sheet of a trial states about classes of
-// requests and kinds of work.
+// Package sheetbook looks up ranks, shares and idempotency in the sheet of a trial.
 //
 // # Usage
 //
@@ -18,19 +17,19 @@
 	"github.com/cassiatally/cassiatally/cassiatally/sheetparser"
 )
 
-// version is that of the first sheet of a trial; the policies do not depend on
-// it.
-const version = 1
+// sheetVersion is the version of the first sheet of a trial; the looked-up policies
+// do not depend on it.
+const sheetVersion = 1
 
-// Book looks up a sheet at one place and time.
+// Book looks up a sheet for one data centre and time.
 type Book struct {
-	ranker *ranker.Ranker
-	place  cassiatally.DataCentre
-	at     time.Time
+	ranker     *ranker.Ranker
+	dataCentre cassiatally.DataCentre
+	at         time.Time
 }
 
-// Open reads the sheet.
-func Open(file string, place cassiatally.DataCentre, at time.Time) (*Book, error) {
+// Open reads and parses the sheet.
+func Open(file string, dataCentre cassiatally.DataCentre, at time.Time) (*Book, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, errors.Wrap(err, "reading the sheet")
@@ -40,25 +39,26 @@
 	if err := report.Err(); err != nil {
 		return nil, err
 	}
-	r, err := ranker.New(s, version)
-	return &Book{ranker: r, place: place, at: at}, err
+	r, err := ranker.New(s, sheetVersion)
+	return &Book{ranker: r, dataCentre: dataCentre, at: at}, err
 }
 
-// Rank returns the rank of a kind of work, or the last rank when the sheet does
-// not name it.
+// Rank returns the rank of a kind of work, or the least urgent rank when the sheet
+// does not list it.
 func (b *Book) Rank(s cassiatally.Service, k cassiatally.WorkKind) cassiatally.Rank {
-	p, err := b.ranker.Lookup(s, k, b.place, b.at)
+	p, err := b.ranker.Lookup(s, k, b.dataCentre, b.at)
 	if err != nil {
 		return cassiatally.MaxRanks - 1
 	}
 	return p.Rank
 }
 
-// Idempotent reports whether a kind of work may be run again.
+// Idempotent reports whether a kind of work may be run more than once.
 func (b *Book) Idempotent(s cassiatally.Service, k cassiatally.WorkKind) bool {
-	p, err := b.ranker.Lookup(s, k, b.place, b.at)
+	p, err := b.ranker.Lookup(s, k, b.dataCentre, b.at)
 	return err == nil && p.Idempotent
 }
 
-// Share returns the share that a rank keeps in a flood.
+// Share returns the share of capacity that a rank keeps when more urgent work
+// floods the service.
 func (b *Book) Share(r cassiatally.Rank) cassiatally.Share { return b.ranker.Shares()[r] }
