--- a/bench/sheetpublisher/sheetpublisher.go
+++ b/bench/sheetpublisher/sheetpublisher.go
@@ -1,5 +1,5 @@
-// Package sheetpublisher publishes a sheet with the program of operators and
-// measures when it is in force on all nodes.
+// Package sheetpublisher publishes a sheet with the cassiatally program and
+// measures the time until it is in force on all nodes.
 //
 // # Usage
 //
@@ -26,9 +26,9 @@
 	Fleet   *deployer.Fleet
 }
 
-// Publish publishes the sheet after the version basedOn and returns the time
-// from its acceptance until it is in force on all nodes. The time ends later than
-// it should by up to one round of status requests.
+// Publish publishes the sheet as the successor of the version basedOn and returns
+// the time from its acceptance until it is in force on all nodes. The time can be
+// too long by up to one round of status requests.
 func (p *Publisher) Publish(ctx context.Context, file string, basedOn cassiatally.Version) (time.Duration, error) {
 	cmd := exec.CommandContext(
 		ctx, p.Program, "sheet", "publish", file, "--log", string(p.Fleet.LogAddress),
