--- a/bench/portreserver/portreserver.go
+++ b/bench/portreserver/portreserver.go
@@ -1,5 +1,5 @@
-// Package portreserver gets free ports from the kernel for processes that have
-// to know the addresses of each other before they start.
+// Package portreserver gets free ports from the kernel for processes that need each
+// other's addresses before they start.
 //
 // # Usage
 //
@@ -18,12 +18,13 @@
 // Reserver reserves ports on loopback.
 type Reserver struct{}
 
-// Reserve returns n free addresses. All of them are open at one time, so they
-// differ; they are free again on return, so another program could take one.
+// Reserve returns n free addresses. They are distinct, since all of them are open
+// at the same time. They are closed again on return, so another program can take
+// one before it is used.
 func (Reserver) Reserve(ctx context.Context, n int) (addresses []cassiatally.Address, err error) {
-	var listening net.ListenConfig
+	var config net.ListenConfig
 	for range n {
-		l, errListen := listening.Listen(ctx, "tcp", "127.0.0.1:0")
+		l, errListen := config.Listen(ctx, "tcp", "127.0.0.1:0")
 		if errListen != nil {
 			return nil, errors.Wrap(errListen, "reserving a port")
 		}
