--- a/bench/plotter/plotter.go
+++ b/bench/plotter/plotter.go
@@ -18,6 +18,7 @@
 )
 
 const (
+	// window is the time over which each point of a line is averaged.
 	window = 500 * time.Millisecond
 	width  = 8 * vg.Inch
 	height = 4 * vg.Inch
@@ -26,8 +27,8 @@
 // Plotter draws observations.
 type Plotter struct{}
 
-// Draw writes one picture with a line for each observation; the ending of the
-// file name decides the format. All observations are of one scenario.
+// Draw writes one plot with a line for each observation, in the format that the
+// extension of the file name stands for. All observations must be of one scenario.
 func (Plotter) Draw(file string, observations []observation.Observation) error {
 	p := plot.New()
 	p.Title.Text = "Scenario " + string(observations[0].Scenario.Name)
@@ -37,7 +38,7 @@
 	p.Legend.Top = true
 	p.Add(plotter.NewGrid())
 	for i, o := range observations {
-		line, err := plotter.NewLine(points(o))
+		line, err := plotter.NewLine(goodputPoints(o))
 		if err != nil {
 			return errors.Wrap(err, "drawing a line")
 		}
@@ -49,17 +50,17 @@
 	return errors.Wrap(p.Save(width, height, file), "writing a plot")
 }
 
-// points returns the goodput of each window.
-func points(o observation.Observation) plotter.XYs {
+// goodputPoints returns the goodput of each window.
+func goodputPoints(o observation.Observation) plotter.XYs {
 	var length time.Duration
 	for _, p := range o.Scenario.Phases {
 		length += p.Duration
 	}
 	counts := make([]int, length/window)
 	for _, r := range o.Requests {
-		at := int(r.At.Sub(o.Start) / window)
-		if r.InTime && at >= 0 && at < len(counts) {
-			counts[at]++
+		i := int(r.At.Sub(o.Start) / window)
+		if r.InTime && i >= 0 && i < len(counts) {
+			counts[i]++
 		}
 	}
 	xys := make(plotter.XYs, len(counts))
