--- a/bench/machine/machine.go
+++ b/bench/machine/machine.go
@@ -1,5 +1,5 @@
-// Package machine tells what a figure has to be read with: the load average of
-// the machine and the commit of the programs.
+// Package machine reads the conditions under which results were measured: the cores
+// and the load average of the machine, and the commit of the programs.
 //
 // # Usage
 //
@@ -18,9 +18,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-const loadFile = "/proc/loadavg"
+const loadAverageFile = "/proc/loadavg"
 
-// Load is a load average over one minute.
+// LoadAverage is a load average over one minute.
 type LoadAverage float64
 
 // Machine is the machine that trials run on.
@@ -31,21 +31,21 @@
 
 // LoadAverage returns the load average over the last minute.
 func (Machine) LoadAverage() (LoadAverage, error) {
-	data, err := os.ReadFile(loadFile)
+	data, err := os.ReadFile(loadAverageFile)
 	if err != nil {
 		return 0, errors.Wrap(err, "reading the load average")
 	}
-	return parseLoad(string(data))
+	return parseLoadAverage(string(data))
 }
 
-func parseLoad(text string) (LoadAverage, error) {
+func parseLoadAverage(text string) (LoadAverage, error) {
 	first, _, _ := strings.Cut(text, " ")
 	v, err := strconv.ParseFloat(first, 64)
 	return LoadAverage(v), errors.Wrap(err, "reading the load average")
 }
 
-// Commit returns the commit of a work tree, marked when files differ from it, or
-// "unknown" outside a repository.
+// Commit returns the commit of a work tree, with the suffix -dirty when files differ
+// from it, or "unknown" outside a repository.
 func (Machine) Commit(ctx context.Context, root string) string {
 	out, err := exec.CommandContext(ctx, "git", "-C", root, "describe", "--always", "--dirty", "--exclude=*").Output()
 	if err != nil {
