--- a/bench/environment/environment.go
+++ b/bench/environment/environment.go
@@ -1,5 +1,4 @@
-// Package environment holds what a command gets from its process: streams and a
-// logger.
+// Package environment holds the output streams of a command and its logger.
 //
 // # Usage
 //
