--- a/bench/cli/command.go
+++ b/bench/cli/command.go
@@ -1,4 +1,4 @@
-// Package cli defines what a command of cassiatally-bench consists of.
+// Package cli defines the form of a command of cassiatally-bench.
 //
 // # Usage
 //
@@ -16,7 +16,7 @@
 
 // Command is one command of the program.
 type Command struct {
-	// Name is the word after the program's name.
+	// Name is the first argument of the program, which selects the command.
 	Name    string
 	Summary string
 	Parser  *flagparser.Parser
