--- a/bench/command/capacitycommand/capacitycommand.go
+++ b/bench/command/capacitycommand/capacitycommand.go
@@ -1,5 +1,5 @@
-// Package capacitycommand is the command that measures nodes at rest in fleets
-// of several sizes.
+// Package capacitycommand implements the command capacity, which measures nodes at
+// rest in fleets of several sizes.
 //
 // # Usage
 //
@@ -34,7 +34,7 @@
 	mebi          = 1 << 20
 )
 
-// Options are the inputs of the command.
+// Options are the flags of the command and its environment.
 type Options struct {
 	Env    environment.Environment
 	Root   string
@@ -85,12 +85,12 @@
 			return err
 		}
 		fmt.Fprintf(w, "%d\t%.2f%%\t%.1f MiB\t%.0f B/s\t%.0f B/s\t%.0f B/s\t%d\t%v\t%s\n",
-			row.Nodes, 100*row.Cores, float64(row.MaxResident)/mebi, row.SentBytesPerSecond, row.ReceivedBytesPerSecond, row.MaxSentBytesPerSecond, row.Appends, row.JoinTime.Round(time.Millisecond), loadAverage())
+			row.Nodes, 100*row.Cores, float64(row.MaxResident)/mebi, row.SentBytesPerSecond, row.ReceivedBytesPerSecond, row.MaxSentBytesPerSecond, row.Appends, row.JoinTime.Round(time.Millisecond), formatLoadAverage())
 	}
 	return w.Flush()
 }
 
-func loadAverage() string {
+func formatLoadAverage() string {
 	load, err := machine.Machine{}.LoadAverage()
 	if err != nil {
 		return "unknown"
--- a/bench/command/command.go
+++ b/bench/command/command.go
@@ -1,5 +1,5 @@
-// Package command runs the cassiatally-bench program. Each command is in a
-// package below it.
+// Package command is the entry point of the cassiatally-bench program. Each command
+// has a package below it.
 //
 // # Usage
 //
@@ -24,8 +24,8 @@
 
 const name = "cassiatally-bench"
 
-// Main runs the program and returns its exit code. A signal ends the command and
-// all processes that it started.
+// Main runs the program and returns its exit code. SIGINT, SIGTERM and SIGHUP end
+// the command and all processes that it started.
 func Main(args []string, _ io.Reader, stdout, stderr io.Writer) cassiatally.ExitCode {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP)
 	defer stop()
@@ -50,13 +50,13 @@
 		}
 	}
 	if len(args) > 0 && (args[0] == "--help" || args[0] == "-h" || args[0] == "help") {
-		_, err := fmt.Fprint(env.Stdout, overview(all))
+		_, err := fmt.Fprint(env.Stdout, helpText(all))
 		return err
 	}
 	return cassiatally.NewError(cassiatally.KindUsage, "a command is needed; see %s --help", name)
 }
 
-func overview(all []cli.Command) string {
+func helpText(all []cli.Command) string {
 	var b strings.Builder
 	b.WriteString("Drive a fleet of real processes on loopback.\n\nCommands:\n")
 	for _, c := range all {
--- a/bench/command/democommand/democommand.go
+++ b/bench/command/democommand/democommand.go
@@ -1,5 +1,5 @@
-// Package democommand is the command that shows the barrier agency under
-// overload, in about a minute.
+// Package democommand implements the command demo, which shows the barrier agency
+// under overload, in about a minute.
 //
 // # Usage
 //
@@ -35,22 +35,23 @@
 
 const (
 	scale = 0.1
-	// The loads of the phases, in multiples of the narrow service's capacity.
-	starting = 0.2
-	calm     = 0.5
-	overload = 3
+	// The loads of the phases, in multiples of the bottleneck service's capacity.
+	startLoad    = 0.2
+	calmLoad     = 0.5
+	overloadLoad = 3
 
 	startTime    = 5 * time.Second
 	calmTime     = 12 * time.Second
 	overloadTime = 15 * time.Second
-	// settleTime lets backend servers hand over the ends of their runs.
-	settleTime = time.Second
+	// recorderDelay is the time in which backend servers send the ends of their runs
+	// to the recorder.
+	recorderDelay = time.Second
 	// readTimeout bounds reading all runs from the recorder.
-	readTimeout = time.Minute
-	maxListed   = 10
+	readTimeout         = time.Minute
+	maxListedViolations = 10
 )
 
-// Options are the inputs of the command.
+// Options are the flags of the command and its environment.
 type Options struct {
 	Env  environment.Environment
 	Root string
@@ -73,7 +74,7 @@
 	}
 }
 
-// demo is one run of the command.
+// demo is the state of one run of the command.
 type demo struct {
 	*Options
 	logger *log.Logger
@@ -95,33 +96,33 @@
 	l.Run()
 	defer l.Close()
 	d := &demo{Options: o, logger: o.Env.Logger()}
-	if err := d.start(ctx, l, folder); err != nil {
+	if err := d.startFleet(ctx, l, folder); err != nil {
 		return err
 	}
-	return d.show(ctx)
+	return d.runLoad(ctx)
 }
 
-func (d *demo) start(ctx context.Context, l *launcher.Launcher, folder string) error {
+func (d *demo) startFleet(ctx context.Context, l *launcher.Launcher, folder string) error {
 	dep, err := deployment.Named(deployment.Barrier, scale)
 	if err != nil {
 		return err
 	}
 	bin := filepath.Join(d.Root, "bin")
 	d.logger.Info("start", "data_centres", len(dep.DataCentres), "services", len(dep.Services), "nodes", len(dep.DataCentres)*len(dep.Services))
-	starter := &deployer.Deployer{
+	fleetDeployer := &deployer.Deployer{
 		Deployment: dep, Launcher: l, Bin: bin, Control: deployer.ControlAdaptive, Folder: folder, WithRecorder: true, Seed: d.Seed,
 	}
-	if d.fleet, err = starter.Deploy(ctx); err != nil {
+	if d.fleet, err = fleetDeployer.Deploy(ctx); err != nil {
 		return err
 	}
 	if err := d.fleet.WaitMembers(ctx); err != nil {
 		return err
 	}
 	d.logger.Info("members", "known_by_all", len(d.fleet.Endpoints))
-	return d.publish(ctx, bin)
+	return d.publishSheet(ctx, bin)
 }
 
-func (d *demo) publish(ctx context.Context, bin string) error {
+func (d *demo) publishSheet(ctx context.Context, bin string) error {
 	dep := d.fleet.Deployment
 	sheet := filepath.Join(d.Root, dep.Sheet)
 	var err error
@@ -137,32 +138,32 @@
 	return d.fleet.WaitKeys(ctx)
 }
 
-func (d *demo) show(ctx context.Context) error {
+func (d *demo) runLoad(ctx context.Context) error {
 	dep := d.fleet.Deployment
 	phases := []loadplan.Phase{
-		{Name: "start", Duration: startTime, Rates: dep.MixedRates(starting)},
-		{Name: "calm", Duration: calmTime, Rates: dep.MixedRates(calm)},
-		{Name: "overload", Duration: overloadTime, Rates: dep.MixedRates(overload)},
-		{Name: "after", Duration: calmTime, Rates: dep.MixedRates(calm)},
+		{Name: "start", Duration: startTime, Rates: dep.MixedRates(startLoad)},
+		{Name: "calm", Duration: calmTime, Rates: dep.MixedRates(calmLoad)},
+		{Name: "overload", Duration: overloadTime, Rates: dep.MixedRates(overloadLoad)},
+		{Name: "after", Duration: calmTime, Rates: dep.MixedRates(calmLoad)},
 	}
 	t := &trial.Trial{Fleet: d.fleet, Name: "demo", Seed: d.Seed, Progress: d.logger}
 	results := t.Run(ctx, phases)
 	if err := ctx.Err(); err != nil {
 		return errors.Wrap(err, "the demo was stopped")
 	}
-	timer := time.NewTimer(settleTime)
+	timer := time.NewTimer(recorderDelay)
 	<-timer.C
-	runs, err := d.runs(ctx)
+	runs, err := d.readRuns(ctx)
 	if err != nil {
 		return err
 	}
 	table := ranktable.New(d.book)
 	table.Add(results.Reports())
 	table.AddRuns(runs)
-	narrow := dep.BottleneckService()
+	bottleneck := dep.BottleneckService()
 	fmt.Fprintf(
 		d.Env.Stdout, "\nLoad as a part of the capacity of %s (%d slots, %v a request, %.0f requests/s): start %.1f, calm %.1f, overload %.1f, after %.1f.\n\n",
-		narrow.Name, len(dep.DataCentres)*int(narrow.Slots), narrow.ServiceTime, float64(dep.Capacity()), starting, calm, float64(overload), calm,
+		bottleneck.Name, len(dep.DataCentres)*int(bottleneck.Slots), bottleneck.ServiceTime, float64(dep.Capacity()), startLoad, calmLoad, float64(overloadLoad), calmLoad,
 	)
 	if err := table.Print(d.Env.Stdout); err != nil {
 		return err
@@ -173,22 +174,23 @@
 	return d.reconcile(results.Reports(), runs)
 }
 
-func (d *demo) runs(ctx context.Context) ([]core.Run, error) {
+func (d *demo) readRuns(ctx context.Context) ([]core.Run, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	client := &recorder.Client{URL: d.fleet.RecorderURL, HTTP: http.DefaultClient}
 	return client.Runs(ctx)
 }
 
-// reconcile prints what callers were told against what backend servers ran.
-func (d *demo) reconcile(told []core.Told, runs []core.Run) error {
-	report := reconciler.New(runs).Check(told)
+// reconcile compares the outcomes reported to callers with the runs at backend
+// servers, and prints the violations.
+func (d *demo) reconcile(reported []core.Told, runs []core.Run) error {
+	report := reconciler.New(runs).Check(reported)
 	w := d.Env.Stdout
 	fmt.Fprintf(w, "\nReconciliation of %d requests with %d runs at backend servers:\n", report.Told, report.Runs)
 	for _, rule := range reconciler.Rules() {
 		fmt.Fprintf(w, "  %-20s %d\n", rule, report.Count(rule))
 	}
-	for _, v := range report.Violations[:min(len(report.Violations), maxListed)] {
+	for _, v := range report.Violations[:min(len(report.Violations), maxListedViolations)] {
 		fmt.Fprintf(w, "  %s: id %s, class %s, key %s, %d runs\n", v.Rule, v.ID, v.Class, v.Key, len(v.Runs))
 	}
 	if n := len(report.Violations); n > 0 {
--- a/bench/command/runcommand/report.go
+++ b/bench/command/runcommand/report.go
@@ -37,23 +37,23 @@
 }
 
 func (r *report) write() error {
-	card := r.card()
-	if err := r.text(r.options.Env.Stdout, card); err != nil {
+	card := r.newCard()
+	if err := r.writeText(r.options.Env.Stdout, card); err != nil {
 		return err
 	}
 	if err := os.MkdirAll(r.options.Out, folderPermissions); err != nil {
 		return errors.Wrap(err, "making the folder for results")
 	}
-	if err := r.file(".txt", func(w io.Writer) error { return r.text(w, card) }); err != nil {
+	if err := r.writeFile(".txt", func(w io.Writer) error { return r.writeText(w, card) }); err != nil {
 		return err
 	}
-	if err := r.file(".csv", card.CSV); err != nil {
+	if err := r.writeFile(".csv", card.CSV); err != nil {
 		return err
 	}
-	return r.plots()
+	return r.writePlots()
 }
 
-func (r *report) name(ending string) string {
+func (r *report) resultPath(ending string) string {
 	name := r.options.Deployment
 	if r.options.Quick {
 		name += "-quick"
@@ -61,8 +61,8 @@
 	return filepath.Join(r.options.Out, name+ending)
 }
 
-func (r *report) file(ending string, write func(io.Writer) error) (err error) {
-	f, err := os.OpenFile(r.name(ending), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, filePermissions)
+func (r *report) writeFile(ending string, write func(io.Writer) error) (err error) {
+	f, err := os.OpenFile(r.resultPath(ending), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, filePermissions)
 	if err != nil {
 		return errors.Wrap(err, "writing the results")
 	}
@@ -70,46 +70,46 @@
 	return write(f)
 }
 
-func (r *report) card() *scorecard.Card {
+func (r *report) newCard() *scorecard.Card {
 	card := &scorecard.Card{}
 	for _, m := range r.experimenter.Modes {
 		card.Modes = append(card.Modes, m.Name)
 	}
-	m := &measurer.Measurer{Deployment: r.experimenter.Deployment, Policies: r.book, Capacity: r.capacity()}
+	m := &measurer.Measurer{Deployment: r.experimenter.Deployment, Policies: r.book, Capacity: r.measuredCapacity()}
 	for _, o := range r.observations {
 		card.Add(m.Measure(o))
 	}
 	return card
 }
 
-// capacity returns the greatest capacity that a direct run measured. Nodes have no
-// part in it, so differences between modes are noise of the machine.
-func (r *report) capacity() loadplan.Rate {
-	var most loadplan.Rate
+// measuredCapacity returns the greatest capacity that a direct run measured, or 0.
+// Direct calls pass no nodes, so differences between modes are noise of the machine.
+func (r *report) measuredCapacity() loadplan.Rate {
+	var highest loadplan.Rate
 	for _, o := range r.observations {
 		if o.Cost != nil {
-			most = max(most, o.Cost.Capacity)
+			highest = max(highest, o.Cost.Capacity)
 		}
 	}
-	return most
+	return highest
 }
 
-func (r *report) text(w io.Writer, card *scorecard.Card) error {
+func (r *report) writeText(w io.Writer, card *scorecard.Card) error {
 	o, dep := r.options, r.experimenter.Deployment
-	narrow := dep.BottleneckService()
+	bottleneck := dep.BottleneckService()
 	fmt.Fprintf(w, "command:  %s\n", o.commandLine())
 	fmt.Fprintf(w, "commit:   %s\n", r.commit)
 	fmt.Fprintf(w, "time:     %s, %v\n", r.started.UTC().Format(time.RFC3339), time.Since(r.started).Round(time.Second))
 	fmt.Fprintf(w, "seed:     %d\n", o.Seed)
-	fmt.Fprintf(w, "scale:    %g of the stated rates; %s takes %v a request, so that the shared machine is not the bottleneck\n", o.Scale, narrow.Name, narrow.ServiceTime)
-	fmt.Fprintf(w, "capacity: %s %.0f requests/s by slots over service time", narrow.Name, float64(dep.Capacity()))
-	if c := r.capacity(); c > 0 {
+	fmt.Fprintf(w, "scale:    %g of the stated rates; %s takes %v a request, so that the shared machine is not the bottleneck\n", o.Scale, bottleneck.Name, bottleneck.ServiceTime)
+	fmt.Fprintf(w, "capacity: %s %.0f requests/s by slots over service time", bottleneck.Name, float64(dep.Capacity()))
+	if c := r.measuredCapacity(); c > 0 {
 		fmt.Fprintf(w, ", %.0f measured by a saturating direct run", float64(c))
 	}
 	fmt.Fprintln(w)
-	fmt.Fprintf(w, "callers:  send a request again after its target time, at most %v, up to twice; phases of %v\n", o.callerLimit(), o.phase())
-	fmt.Fprintf(w, "links:    %s\n", r.links())
-	r.load(w)
+	fmt.Fprintf(w, "callers:  send a request again after its target time, at most %v, up to twice; phases of %v\n", o.maxCallerTimeout(), o.phaseLength())
+	fmt.Fprintf(w, "links:    %s\n", r.describeLinks())
+	r.writeMachine(w)
 	if _, err := fmt.Fprintln(w); err != nil {
 		return errors.Wrap(err, "writing the results")
 	}
@@ -120,7 +120,7 @@
 	return errors.Wrap(err, "writing the results")
 }
 
-// notes says how to read the table.
+// notes explains how to read the table.
 func (r *report) notes() string {
 	var b strings.Builder
 	for _, s := range r.experimenter.Scenarios {
@@ -131,7 +131,7 @@
 	return b.String()
 }
 
-func (r *report) links() string {
+func (r *report) describeLinks() string {
 	dep := r.experimenter.Deployment
 	if r.experimenter.SharedFleet {
 		return fmt.Sprintf("no delay between nodes (quick), %v one way to callers", dep.CallerLatency)
@@ -139,9 +139,9 @@
 	return fmt.Sprintf("%v one way between nodes (none in the scenario cost), %v one way to callers", dep.LinkLatency, dep.CallerLatency)
 }
 
-// load prints the load average at the beginning of each scenario and mode, and
-// warns of what weakens the figures.
-func (r *report) load(w io.Writer) {
+// writeMachine writes the range of load averages at the beginning of scenarios, and
+// warnings when the machine or the load may have distorted the results.
+func (r *report) writeMachine(w io.Writer) {
 	least, most := machine.LoadAverage(-1), machine.LoadAverage(0)
 	unsent := 0
 	for _, o := range r.observations {
@@ -161,18 +161,18 @@
 	}
 }
 
-func (r *report) plots() error {
+func (r *report) writePlots() error {
 	for _, name := range scenario.Names() {
-		var same []observation.Observation
+		var matching []observation.Observation
 		for _, o := range r.observations {
 			if o.Scenario.Name == name && o.Cost == nil {
-				same = append(same, o)
+				matching = append(matching, o)
 			}
 		}
-		if len(same) == 0 {
+		if len(matching) == 0 {
 			continue
 		}
-		if err := (plotter.Plotter{}).Draw(r.name("-"+string(name)+".svg"), same); err != nil {
+		if err := (plotter.Plotter{}).Draw(r.resultPath("-"+string(name)+".svg"), matching); err != nil {
 			return err
 		}
 	}
--- a/bench/command/runcommand/runcommand.go
+++ b/bench/command/runcommand/runcommand.go
@@ -1,5 +1,5 @@
-// Package runcommand is the command that runs experiments and compares the
-// control modes in one run.
+// Package runcommand implements the command run, which runs experiments with each
+// control mode and compares the results with the targets.
 //
 // # Usage
 //
@@ -31,15 +31,15 @@
 	defaultScale  = 0.1
 	defaultLength = 5 * time.Second
 	quickLength   = 1500 * time.Millisecond
-	// callerLimit bounds the time that callers wait, so that a trial ends soon
-	// after its load.
-	callerLimit      = 2 * time.Second
-	quickCallerLimit = time.Second
-	// previousMode names the nodes of an earlier commit.
+	// defaultCallerTimeout bounds the time that callers wait, so that a trial ends
+	// soon after its load.
+	defaultCallerTimeout = 2 * time.Second
+	quickCallerTimeout   = time.Second
+	// previousMode is the mode with the node program of an earlier commit.
 	previousMode observation.Mode = "previous"
 )
 
-// Options are the inputs of the command.
+// Options are the flags of the command and its environment.
 type Options struct {
 	Env        environment.Environment
 	Deployment string
@@ -79,12 +79,13 @@
 }
 
 func (o *Options) run(ctx context.Context) error {
-	e, book, err := o.experiment()
+	e, book, err := o.newExperimenter()
 	if err != nil {
 		return err
 	}
 	started := time.Now()
-	// The commit is read before the run, which takes minutes.
+	// The commit is read first, since it may change during the run, which takes
+	// minutes.
 	commit := machine.Machine{}.Commit(ctx, o.Root)
 	logger := e.Logger
 	logger.Info("experiments", "deployment", e.Deployment.Name, "modes", len(e.Modes), "scenarios", len(e.Scenarios), "seed", o.Seed)
@@ -96,33 +97,33 @@
 	return r.write()
 }
 
-// experiment checks the options and sets the experiment up.
-func (o *Options) experiment() (*experimenter.Experimenter, *sheetbook.Book, error) {
+// newExperimenter checks the options and returns the experimenter and the sheet.
+func (o *Options) newExperimenter() (*experimenter.Experimenter, *sheetbook.Book, error) {
 	dep, err := deployment.Named(deployment.Name(o.Deployment), o.Scale)
 	if err != nil {
-		return nil, nil, usage(err)
+		return nil, nil, usageError(err)
 	}
-	dep = dep.AllThroughBottleneck(o.callerLimit())
+	dep = dep.AllThroughBottleneck(o.maxCallerTimeout())
 	book, err := sheetbook.Open(filepath.Join(o.Root, dep.Sheet), dep.DataCentres[0], time.Now())
 	if err != nil {
 		return nil, nil, err
 	}
-	modes, err := o.modes()
+	modes, err := o.selectModes()
 	if err != nil {
 		return nil, nil, err
 	}
-	scenarios, err := o.scenarios(dep, book)
+	scenarios, err := o.selectScenarios(dep, book)
 	if err != nil {
-		return nil, nil, usage(err)
+		return nil, nil, usageError(err)
 	}
 	e := &experimenter.Experimenter{
 		Deployment: dep, Modes: modes, Scenarios: scenarios, Root: o.Root, Seed: o.Seed,
-		Length: o.phase(), SharedFleet: o.Quick, Logger: o.Env.Logger(),
+		Length: o.phaseLength(), SharedFleet: o.Quick, Logger: o.Env.Logger(),
 	}
 	return e, book, nil
 }
 
-func (o *Options) phase() time.Duration {
+func (o *Options) phaseLength() time.Duration {
 	switch {
 	case o.Seconds > 0:
 		return time.Duration(o.Seconds) * time.Second
@@ -132,24 +133,24 @@
 	return defaultLength
 }
 
-func (o *Options) callerLimit() time.Duration {
+func (o *Options) maxCallerTimeout() time.Duration {
 	if o.Quick {
-		return quickCallerLimit
+		return quickCallerTimeout
 	}
-	return callerLimit
+	return defaultCallerTimeout
 }
 
-func (o *Options) modes() ([]experimenter.Mode, error) {
-	known := []deployer.ControlMode{deployer.ControlOff, deployer.ControlFixed, deployer.ControlAdaptive}
+func (o *Options) selectModes() ([]experimenter.Mode, error) {
+	valid := []deployer.ControlMode{deployer.ControlOff, deployer.ControlFixed, deployer.ControlAdaptive}
 	var modes []experimenter.Mode
-	for _, c := range known {
+	for _, c := range valid {
 		if len(o.Controls) == 0 || slices.Contains(o.Controls, string(c)) {
 			modes = append(modes, experimenter.Mode{Name: observation.Mode(c), Control: c})
 		}
 	}
 	for _, c := range o.Controls {
-		if !slices.Contains(known, deployer.ControlMode(c)) {
-			return nil, cassiatally.NewError(cassiatally.KindUsage, "%q is no control mode; there are %v", c, known)
+		if !slices.Contains(valid, deployer.ControlMode(c)) {
+			return nil, cassiatally.NewError(cassiatally.KindUsage, "%q is no control mode; there are %v", c, valid)
 		}
 	}
 	if o.Previous != "" {
@@ -158,9 +159,9 @@
 	return modes, nil
 }
 
-func (o *Options) scenarios(dep deployment.Deployment, book *sheetbook.Book) ([]scenario.Scenario, error) {
-	urgent, least := extremes(dep, book)
-	c := scenario.Catalogue{Deployment: dep, Length: o.phase(), Quick: o.Quick, Urgent: urgent, Least: least}
+func (o *Options) selectScenarios(dep deployment.Deployment, book *sheetbook.Book) ([]scenario.Scenario, error) {
+	urgent, least := extremeClasses(dep, book)
+	c := scenario.Catalogue{Deployment: dep, Length: o.phaseLength(), Quick: o.Quick, Urgent: urgent, Least: least}
 	names := scenario.Names()
 	if len(o.Scenarios) > 0 {
 		names = nil
@@ -182,9 +183,9 @@
 	return all, nil
 }
 
-// extremes returns the first class of the most urgent rank and the last one of
-// the least urgent rank.
-func extremes(dep deployment.Deployment, book *sheetbook.Book) (urgent, least loadplan.ClassName) {
+// extremeClasses returns the first class of the most urgent rank and the last class
+// of the least urgent rank.
+func extremeClasses(dep deployment.Deployment, book *sheetbook.Book) (urgent, least loadplan.ClassName) {
 	rank := func(c deployment.Class) cassiatally.Rank { return book.Rank(c.Service, c.Kind) }
 	first, last := dep.Classes[0], dep.Classes[0]
 	for _, c := range dep.Classes {
@@ -198,9 +199,9 @@
 	return first.Name, last.Name
 }
 
-func usage(err error) error { return cassiatally.NewError(cassiatally.KindUsage, "%v", err) }
+func usageError(err error) error { return cassiatally.NewError(cassiatally.KindUsage, "%v", err) }
 
-// commandLine returns the command that repeats the run.
+// commandLine returns a command line that repeats the run.
 func (o *Options) commandLine() string {
 	line := fmt.Sprintf("cassiatally-bench run --deployment %s --seed %d --scale %g", o.Deployment, o.Seed, o.Scale)
 	if o.Seconds > 0 {
--- a/bench/main.go
+++ b/bench/main.go
@@ -1,4 +1,5 @@
-// Command cassiatally-bench is described in README.md.
+// Command cassiatally-bench drives a fleet of real processes on loopback and
+// measures it. README.md describes its commands.
 package main
 
 import (
