--- a/bench/costmeter/costmeter.go
+++ b/bench/costmeter/costmeter.go
@@ -36,8 +36,8 @@
 	loadPerPath = 0.25
 	// saturatingLoad is the load of the run that measures capacity.
 	saturatingLoad = 1.5
-	// directTimeout is longer than the run that measures capacity, so that no request
-	// of it times out early.
+	// directTimeout is longer than the run that measures capacity, so that none of
+	// its requests times out.
 	directTimeout = 20 * time.Second
 	workers       = 2000
 	// settleTime lets the shard assignment and the first rounds of gossip finish
--- a/bench/launcher/launcher.go
+++ b/bench/launcher/launcher.go
@@ -136,7 +136,7 @@
 	cmd.Env = append(os.Environ(), l.Environment...)
 	cmd.Stderr = logFile
 	// A process group of its own keeps the child from receiving an interrupt of the
-	// terminal, so that Close ends it.
+	// terminal, so that Close ends the children in order.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	return &Process{
 		Name: program.Name, cmd: cmd, logFile: logFile,
--- a/bench/trial/trial.go
+++ b/bench/trial/trial.go
@@ -37,7 +37,7 @@
 	// Name is the prefix of the request ids.
 	Name string
 	Seed uint64
-	// Progress receives a line every 4 s.
+	// Progress receives a line every progressInterval.
 	Progress *log.Logger
 }
 
