--- a/operator/command/status/sections.go
+++ b/operator/command/status/sections.go
@@ -44,24 +44,24 @@
 	return t.Print(env.Stdout, env.Terminal)
 }
 
-// sectionsOf returns the tables. With all, the nodes table has one row for each
-// queried node, from its own status; otherwise it has all members that the one
-// node reports.
-func sectionsOf(answered []nodeclient.Status, all bool) []section {
+// sectionsOf returns the tables. With all, the table of nodes has one row for each
+// node that answered, from its own status; otherwise it has all members that the only
+// queried node reports.
+func sectionsOf(statuses []nodeclient.Status, all bool) []section {
 	return []section{
-		nodes(answered, all), services(answered[0]), backends(answered), sheds(answered),
-		queueWaits(answered), requests(answered), shards(answered), links(answered),
+		nodes(statuses, all), services(statuses[0]), backends(statuses), sheds(statuses),
+		queueWaits(statuses), requests(statuses), shards(statuses), links(statuses),
 	}
 }
 
-func nodes(answered []nodeclient.Status, all bool) section {
+func nodes(statuses []nodeclient.Status, all bool) section {
 	s := section{
 		name: "node", title: "Nodes",
 		header: []string{"node", "data centre", "service", "state", "sheet", "in flight", "limit", "slots", "queued", "notes"},
 	}
-	for i := range answered {
-		for _, m := range answered[i].Members {
-			if all && m.Node != answered[i].Node {
+	for i := range statuses {
+		for _, m := range statuses[i].Members {
+			if all && m.Node != statuses[i].Node {
 				continue
 			}
 			s.add(m.Node, m.DataCentre, m.Service, m.State, formatCount(m.Sheet), strconv.Itoa(m.InFlight), strconv.Itoa(m.Limit),
@@ -93,73 +93,73 @@
 	return s
 }
 
-func backends(answered []nodeclient.Status) section {
+func backends(statuses []nodeclient.Status) section {
 	s := section{
 		name: "backend", title: "Local backend servers",
 		header: []string{"node", "service", "state", "in flight", "limit", "slots", "queued", "typical time", "late results", "crashes", "suspect requests", "quarantined requests", "level by rank"},
 	}
-	for i := range answered {
-		l := answered[i].Local
-		s.add(answered[i].Node, l.Service, l.State, strconv.Itoa(l.InFlight), strconv.Itoa(l.Limit), strconv.Itoa(l.Slots),
-			strconv.Itoa(l.Queued), formatSeconds(l.TypicalSeconds), formatCount(l.LateResults), formatCount(l.Crashes), strconv.Itoa(l.Suspects), strconv.Itoa(l.Quarantined), formatLevels(l.Levels))
+	for i := range statuses {
+		l := statuses[i].Local
+		s.add(statuses[i].Node, l.Service, l.State, strconv.Itoa(l.InFlight), strconv.Itoa(l.Limit), strconv.Itoa(l.Slots),
+			strconv.Itoa(l.Queued), formatSeconds(l.TypicalSeconds), formatCount(l.LateResults), formatCount(l.Crashes), strconv.Itoa(l.SuspectRequests), strconv.Itoa(l.QuarantinedRequests), formatLevels(l.Levels))
 	}
 	return s
 }
 
 // sheds lists where and why requests were refused: in the queue before the backend
 // server, or in answers to the callers of the node.
-func sheds(answered []nodeclient.Status) section {
+func sheds(statuses []nodeclient.Status) section {
 	s := section{
 		name: "shed", title: "Shed since the start of the node",
 		header: []string{"node", "where", "rank", "reason", "count"},
 	}
-	for i := range answered {
-		for _, v := range answered[i].Local.Sheds {
-			s.add(answered[i].Node, "backend", strconv.Itoa(v.Rank), v.Kind, formatCount(v.Count))
+	for i := range statuses {
+		for _, v := range statuses[i].Local.Sheds {
+			s.add(statuses[i].Node, "backend", strconv.Itoa(v.Rank), v.Kind, formatCount(v.Count))
 		}
-		for _, v := range answered[i].Requests.Refused {
-			s.add(answered[i].Node, "caller", strconv.Itoa(v.Rank), v.Kind, formatCount(v.Count))
+		for _, v := range statuses[i].Requests.Refused {
+			s.add(statuses[i].Node, "caller", strconv.Itoa(v.Rank), v.Kind, formatCount(v.Count))
 		}
 	}
 	return s
 }
 
-func queueWaits(answered []nodeclient.Status) section {
+func queueWaits(statuses []nodeclient.Status) section {
 	s := section{
 		name: "queue", title: "Queue before the backend server",
 		header: []string{"node", "rank", "started", "mean wait"},
 	}
-	for i := range answered {
-		for _, q := range answered[i].Local.Queue {
-			s.add(answered[i].Node, strconv.Itoa(q.Rank), formatCount(q.Started), formatSeconds(q.WaitSeconds/float64(max(q.Started, 1))))
+	for i := range statuses {
+		for _, q := range statuses[i].Local.Queue {
+			s.add(statuses[i].Node, strconv.Itoa(q.Rank), formatCount(q.Started), formatSeconds(q.WaitSeconds/float64(max(q.Started, 1))))
 		}
 	}
 	return s
 }
 
-func requests(answered []nodeclient.Status) section {
+func requests(statuses []nodeclient.Status) section {
 	s := section{
 		name: "request", title: "Requests sent on",
 		header: []string{"node", "callers waiting", "refused at entry", "retries", "retries denied", "redirects", "late answers", "incomplete", "outcome queries"},
 	}
-	for i := range answered {
-		r := answered[i].Requests
-		s.add(answered[i].Node, strconv.Itoa(r.InFlight), formatCount(r.RefusedAtEntry), formatCount(r.Retries), formatCount(r.RetriesDenied),
-			formatCount(r.Redirects), formatCount(r.LateAnswers), formatCount(r.Incomplete), formatCount(r.Queries))
+	for i := range statuses {
+		r := statuses[i].Requests
+		s.add(statuses[i].Node, strconv.Itoa(r.InFlight), formatCount(r.RefusedAtEntry), formatCount(r.Retries), formatCount(r.RetriesDenied),
+			formatCount(r.Redirects), formatCount(r.LateAnswers), formatCount(r.IncompleteAnswers), formatCount(r.OutcomeQueries))
 	}
 	return s
 }
 
 // shards lists each shard of a data centre once, from the first node that reports
 // it.
-func shards(answered []nodeclient.Status) section {
+func shards(statuses []nodeclient.Status) section {
 	s := section{
 		name: "shard", title: "Shards of idempotency keys",
 		header: []string{"data centre", "shard", "epoch", "holder", "standby", "complete from"},
 	}
 	seen := map[string]bool{}
-	for i := range answered {
-		n := answered[i]
+	for i := range statuses {
+		n := statuses[i]
 		for _, v := range n.Shards {
 			id := fmt.Sprintf("%s/%d", n.DataCentre, v.Shard)
 			if seen[id] {
@@ -172,15 +172,15 @@
 	return s
 }
 
-func links(answered []nodeclient.Status) section {
+func links(statuses []nodeclient.Status) section {
 	s := section{
 		name: "link", title: "Log and links",
 		header: []string{"node", "control", "sheet", "follows log", "log contact", "links", "control sent", "control received", "request sent", "request received", "inbox refused"},
 	}
-	for i := range answered {
-		n := answered[i]
+	for i := range statuses {
+		n := statuses[i]
 		s.add(n.Node, n.Control, formatCount(n.Sheet.Version), yesOrNo(n.Sheet.FollowsLog), formatLogContact(n.Sheet), strconv.Itoa(n.Traffic.Links),
-			formatBytes(n.Traffic.ControlSent), formatBytes(n.Traffic.ControlReceived), formatBytes(n.Traffic.RequestSent), formatBytes(n.Traffic.RequestReceived), formatRefused(n.Refused))
+			formatBytes(n.Traffic.ControlSentBytes), formatBytes(n.Traffic.ControlReceivedBytes), formatBytes(n.Traffic.RequestSentBytes), formatBytes(n.Traffic.RequestReceivedBytes), formatRefused(n.RefusedByDuty))
 	}
 	return s
 }
--- a/operator/command/status/status.go
+++ b/operator/command/status/status.go
@@ -81,11 +81,11 @@
 // answer, unless one answer was enough.
 func queryNodes(ctx context.Context, o *Options) ([]view, error) {
 	var views []view
-	var silent []string
+	var unanswered []string
 	for _, n := range o.Nodes {
 		v := queryNode(ctx, o, cassiatally.Address(n))
 		if v.Error != "" {
-			silent = append(silent, n+" ("+v.Error+")")
+			unanswered = append(unanswered, n+" ("+v.Error+")")
 		}
 		switch {
 		case o.All:
@@ -94,11 +94,11 @@
 			return []view{v}, nil
 		}
 	}
-	if len(silent) == 0 {
+	if len(unanswered) == 0 {
 		return views, nil
 	}
 	return views, cassiatally.NewError(cassiatally.KindUnreachable, "%d of %d nodes did not answer: %s; check that they run and that the addresses are their listen.admin",
-		len(silent), len(o.Nodes), strings.Join(silent, ", "))
+		len(unanswered), len(o.Nodes), strings.Join(unanswered, ", "))
 }
 
 func queryNode(ctx context.Context, o *Options, a cassiatally.Address) view {
@@ -118,16 +118,16 @@
 		}
 		return json.NewEncoder(o.Env.Stdout).Encode(views)
 	}
-	var answered []nodeclient.Status
+	var statuses []nodeclient.Status
 	for i := range views {
 		if views[i].Error == "" {
-			answered = append(answered, views[i].status)
+			statuses = append(statuses, views[i].status)
 		}
 	}
-	if len(answered) == 0 {
+	if len(statuses) == 0 {
 		return nil
 	}
-	for i, s := range sectionsOf(answered, o.All) {
+	for i, s := range sectionsOf(statuses, o.All) {
 		if o.Env.Terminal {
 			if i > 0 {
 				fmt.Fprintln(o.Env.Stdout)
--- a/operator/nodeclient/client.go
+++ b/operator/nodeclient/client.go
@@ -9,8 +9,8 @@
 //	answer, err := c.Call(ctx, "127.0.0.1:7400", nodeclient.Request{Service: "avail-svc", Work: "check"})
 //	answer, err = c.Lookup(ctx, "127.0.0.1:7400", key)
 //
-// An error means that no complete answer arrived. Errors that the node reports are
-// in the Answer.
+// An error of Call or Lookup means that no complete answer arrived; errors that the
+// node reports are in the Answer. Status and Mint return them as errors.
 package nodeclient
 
 import (
@@ -30,7 +30,7 @@
 	"github.com/cassiatally/cassiatally/cassiatally/headers"
 )
 
-// maxStatusBytes bounds the status of a node. With 300 members, it has about
+// maxStatusBytes bounds the status of a node. A status with 300 members has about
 // 70 KiB.
 const maxStatusBytes = 16 << 20
 
@@ -149,7 +149,7 @@
 	return readAnswer(resp)
 }
 
-// Lookup returns the outcome of a key.
+// Lookup returns the outcome of the request with a key, as the node answers it.
 func (c Client) Lookup(ctx context.Context, callers cassiatally.Address, k cassiatally.Key) (Answer, error) {
 	resp, err := c.send(ctx, http.MethodGet, callers, "/v1/keys/"+url.PathEscape(string(k)), nil, nil)
 	if err != nil {
--- a/operator/nodeclient/status.go
+++ b/operator/nodeclient/status.go
@@ -14,8 +14,8 @@
 	Shards     []Shard   `json:"shards"`
 	Requests   Requests  `json:"requests"`
 	Traffic    Traffic   `json:"traffic"`
-	// Refused counts, for each duty, the messages that its full inbox refused.
-	Refused map[string]uint64 `json:"refused_by_duty"`
+	// RefusedByDuty counts, for each duty, the messages that its full inbox refused.
+	RefusedByDuty map[string]uint64 `json:"refused_by_duty"`
 }
 
 // Sheet identifies the sheet in force on the node.
@@ -53,20 +53,20 @@
 
 // Local is the backend server of the node's host.
 type Local struct {
-	Service        string    `json:"service"`
-	State          string    `json:"state"`
-	Slots          int       `json:"slots"`
-	Limit          int       `json:"limit"`
-	InFlight       int       `json:"in_flight"`
-	Queued         int       `json:"queued"`
-	TypicalSeconds float64   `json:"typical_seconds"`
-	Levels         []float64 `json:"levels"`
-	Sheds          []Shed    `json:"sheds"`
-	Queue          []Queue   `json:"queue"`
-	LateResults    uint64    `json:"late_results"`
-	Crashes        uint64    `json:"crashes"`
-	Suspects       int       `json:"suspect_requests"`
-	Quarantined    int       `json:"quarantined_requests"`
+	Service             string    `json:"service"`
+	State               string    `json:"state"`
+	Slots               int       `json:"slots"`
+	Limit               int       `json:"limit"`
+	InFlight            int       `json:"in_flight"`
+	Queued              int       `json:"queued"`
+	TypicalSeconds      float64   `json:"typical_seconds"`
+	Levels              []float64 `json:"levels"`
+	Sheds               []Shed    `json:"sheds"`
+	Queue               []Queue   `json:"queue"`
+	LateResults         uint64    `json:"late_results"`
+	Crashes             uint64    `json:"crashes"`
+	SuspectRequests     int       `json:"suspect_requests"`
+	QuarantinedRequests int       `json:"quarantined_requests"`
 }
 
 // Shed counts the requests of a rank that were refused for one reason.
@@ -92,25 +92,26 @@
 	CompleteFrom uint64 `json:"complete_from"`
 }
 
-// Requests counts the results of the calls that the node forwarded.
+// Requests counts the requests that entered at the node and the calls that it sent
+// for them.
 type Requests struct {
-	InFlight       int    `json:"in_flight"`
-	Refused        []Shed `json:"refused"`
-	RefusedAtEntry uint64 `json:"refused_at_entry"`
-	Retries        uint64 `json:"retries"`
-	RetriesDenied  uint64 `json:"retries_denied"`
-	Redirects      uint64 `json:"redirects"`
-	LateAnswers    uint64 `json:"late_answers"`
-	Incomplete     uint64 `json:"incomplete_answers"`
-	Foreign        uint64 `json:"foreign_answers"`
-	Queries        uint64 `json:"outcome_queries"`
+	InFlight          int    `json:"in_flight"`
+	Refused           []Shed `json:"refused"`
+	RefusedAtEntry    uint64 `json:"refused_at_entry"`
+	Retries           uint64 `json:"retries"`
+	RetriesDenied     uint64 `json:"retries_denied"`
+	Redirects         uint64 `json:"redirects"`
+	LateAnswers       uint64 `json:"late_answers"`
+	IncompleteAnswers uint64 `json:"incomplete_answers"`
+	ForeignAnswers    uint64 `json:"foreign_answers"`
+	OutcomeQueries    uint64 `json:"outcome_queries"`
 }
 
 // Traffic counts bytes between nodes.
 type Traffic struct {
-	Links           int    `json:"links"`
-	RequestSent     uint64 `json:"request_sent_bytes"`
-	RequestReceived uint64 `json:"request_received_bytes"`
-	ControlSent     uint64 `json:"control_sent_bytes"`
-	ControlReceived uint64 `json:"control_received_bytes"`
+	Links                int    `json:"links"`
+	RequestSentBytes     uint64 `json:"request_sent_bytes"`
+	RequestReceivedBytes uint64 `json:"request_received_bytes"`
+	ControlSentBytes     uint64 `json:"control_sent_bytes"`
+	ControlReceivedBytes uint64 `json:"control_received_bytes"`
 }
