--- a/operator/command/call/sender.go
+++ b/operator/command/call/sender.go
@@ -30,8 +30,8 @@
 	resendsLeft int
 
 	key cassiatally.Key
-	// minted is set when this command minted the key; only then does it know how
-	// often the key was sent.
+	// minted is set when this command minted the key. Only then does the command know
+	// how often the key was sent, and may number its attempts.
 	minted   bool
 	attempt  int
 	sends    int
@@ -146,8 +146,8 @@
 	}
 }
 
-// prepareResend waits as long as the node asked for and replaces a key that a
-// refusal has used up.
+// prepareResend waits for the Retry-After time of the answer and replaces a key that
+// a refusal has used up.
 func (s *sender) prepareResend(ctx context.Context) error {
 	wait := time.NewTimer(s.answer.RetryAfter)
 	defer wait.Stop()
