--- a/operator/command/sheet/publish/publish.go
+++ b/operator/command/sheet/publish/publish.go
@@ -26,10 +26,11 @@
 
 const (
 	defaultTimeout = 10 * time.Second
-	// requestsPerTimeout divides the timeout into those of single requests, so that
-	// time is left to read the log back after a request without an answer.
+	// requestsPerTimeout limits a single request to the log to a fraction of the
+	// command's timeout, so that time is left to read the log back after a request
+	// without an answer.
 	requestsPerTimeout = 4
-	// noVersion means that the flag was not given; 0 is a valid version.
+	// noVersion means that --based-on was not given; 0 is a valid version.
 	noVersion = -1
 )
 
@@ -145,8 +146,8 @@
 	return err
 }
 
-// printConflict prints the changes that publishing the sheet would make to the one
-// in force.
+// printConflict prints the changes that publishing the sheet would make to the sheet
+// in force, and returns the conflict.
 func printConflict(o *Options, c *publisher.Conflict, s sheet.Sheet) error {
 	var changes []sheetdiffer.Change
 	var d sheetdiffer.Differ
