--- a/operator/command/sheet/show/show.go
+++ b/operator/command/sheet/show/show.go
@@ -1,4 +1,4 @@
-// Package show prints a sheet of the log.
+// Package show prints a sheet from the log.
 //
 // # Usage
 //
