--- a/operator/sheetsource/source.go
+++ b/operator/sheetsource/source.go
@@ -22,8 +22,8 @@
 	"github.com/cassiatally/cassiatally/cassiatally/sheetreader"
 )
 
-// CanonicalFile is the file name in problems that the parser finds in sheets of
-// the log.
+// CanonicalFile is the file name under which problems of a sheet from the log are
+// reported.
 const CanonicalFile = "sheet.csv"
 
 // Source reads sheets. Log is nil when no log service was named.
@@ -73,7 +73,7 @@
 }
 
 // ReadVersion returns the accepted record of a version. Version 0 stands for the
-// one in force.
+// version in force.
 func (s Source) ReadVersion(ctx context.Context, v cassiatally.Version) (cassiatally.SheetRecord, error) {
 	var found cassiatally.SheetRecord
 	current, err := s.EachRecord(ctx, func(e sheetreader.Entry) {
