--- a/operator/command/command_test.go
+++ b/operator/command/command_test.go
@@ -51,6 +51,7 @@
 	return b, nil
 }
 
+// program runs command lines on files in a directory and on a fake log service.
 type program struct {
 	log      fakeLog
 	terminal bool
@@ -103,7 +104,7 @@
 		{"overview", "--help", 0, "sheet publish", ""},
 		{"overview of a group", "sheet --help", 0, "sheet publish", ""},
 		{"help of a command", "sheet publish --help", 0, "Examples:", ""},
-		{"help in short", "sheet check -h", 0, "Examples:", ""},
+		{"short help flag", "sheet check -h", 0, "Examples:", ""},
 		{"unknown flag", "sheet check first.csv --colour", 2, "", "colour"},
 		{"unknown flag with a value", "version --colour red", 2, "", "colour"},
 		{"missing value", "sheet publish first.csv --log", 2, "", "Expected a following arg for flag log"},
@@ -128,9 +129,9 @@
 		{"settings with problems", "settings check broken.yaml", 1, "broken.yaml:2:8: error: node.id", "has 3 problems"},
 		{"settings with problems as JSON", "settings check broken.yaml --json", 1, `"column":8,"key":"node.id"`, "has 3 problems"},
 		{"valid settings", "settings check node.yaml", 0, "node.yaml: valid", ""},
-		{"settings in force", "settings show node.yaml", 0, "answer_ttl: 10m", ""},
-		{"settings in force as JSON", "settings show node.yaml --json", 0, `"answer_ttl": "10m"`, ""},
-		{"no settings in force", "settings show broken.yaml", 1, "", "run cassiatally settings check"},
+		{"settings with defaults", "settings show node.yaml", 0, "answer_ttl: 10m", ""},
+		{"settings with defaults as JSON", "settings show node.yaml --json", 0, `"answer_ttl": "10m"`, ""},
+		{"show of invalid settings", "settings show broken.yaml", 1, "", "run cassiatally settings check"},
 		{"missing settings", "settings check none.yaml", 1, "", "check the name of the file"},
 		{"version flag", "sheet check --version", 2, "", "version"},
 		{"version", "version", 0, "protocol 1", ""},
@@ -144,7 +145,7 @@
 		{"publish an invalid sheet", "sheet publish broken.csv --log x --based-on 0", 1, "", "nothing was published"},
 		{"show without log", "sheet show", 2, "", "add --log ADDRESS"},
 		{"show from an empty log", "sheet show --log x", 1, "", "no accepted sheet"},
-		{"show something else", "sheet show one --log x", 2, "", "not a version"},
+		{"show with a malformed version", "sheet show one --log x", 2, "", "not a version"},
 		{"diff of a version without log", "sheet diff 1 first.csv", 2, "", "add --log ADDRESS"},
 		{"diff of files", "sheet diff first.csv second.csv", 0, "~ a/look at *, always: share 0.1 -> 0.2\n+ a/sign", ""},
 		{"diff as JSON", "sheet diff first.csv first.csv --json", 0, "[]", ""},
--- a/operator/command/node_test.go
+++ b/operator/command/node_test.go
@@ -233,10 +233,10 @@
 func TestStatus(t *testing.T) {
 	is := is.New(t)
 	n1, n2 := serveStatus(t, "n1"), serveStatus(t, "n2")
-	const silent = "127.0.0.1:1"
+	const unreachable = "127.0.0.1:1"
 	p := newProgram(t)
 
-	code, stdout, stderr := p.run("status --node " + silent + " --node " + n1)
+	code, stdout, stderr := p.run("status --node " + unreachable + " --node " + n1)
 	is.Equal(code, cassiatally.ExitSuccess)
 	is.Equal(stderr, "")
 	for _, line := range []string{
@@ -254,22 +254,22 @@
 		is.True(strings.Contains(stdout, line+"\n"))
 	}
 
-	code, stdout, stderr = p.run("status --all --node " + n1 + " --node " + n2 + " --node " + silent)
+	code, stdout, stderr = p.run("status --all --node " + n1 + " --node " + n2 + " --node " + unreachable)
 	is.Equal(code, cassiatally.ExitFailure)
-	is.True(strings.Contains(stderr, "1 of 3 nodes did not answer: "+silent))
+	is.True(strings.Contains(stderr, "1 of 3 nodes did not answer: "+unreachable))
 	is.Equal(strings.Count(stdout, "\nlink\t")+strings.Count(stdout, "link\tn1"), 3)
 	is.Equal(strings.Count("\n"+stdout, "\nnode\t"), 2) // each node only as it sees itself
 	is.Equal(strings.Count(stdout, "shard\t"), 1)
 
-	code, stdout, _ = p.run("status --json --all --node " + n1 + " --node " + silent)
+	code, stdout, _ = p.run("status --json --all --node " + n1 + " --node " + unreachable)
 	is.Equal(code, cassiatally.ExitFailure)
 	is.True(strings.HasPrefix(stdout, `[{"address":"`+n1+`","status":{"node":"n1",`))
-	is.True(strings.Contains(stdout, `{"address":"`+silent+`","error":"`))
+	is.True(strings.Contains(stdout, `{"address":"`+unreachable+`","error":"`))
 
 	p.terminal = true
 	_, stdout, _ = p.run("status --node " + n1)
 	is.True(strings.HasPrefix(stdout, "Nodes\nNODE  DATA CENTRE  SERVICE"))
-	code, _, stderr = p.run("status --node " + silent)
+	code, _, stderr = p.run("status --node " + unreachable)
 	is.Equal(code, cassiatally.ExitFailure)
 	is.True(strings.Contains(stderr, "listen.admin"))
 }
