--- a/scenarios/fleet_test.go
+++ b/scenarios/fleet_test.go
@@ -37,7 +37,8 @@
 	supervisors map[string]*supervisor
 	// linkAddresses has the address for links of each node that was started, by name.
 	linkAddresses map[string]string
-	// pending has the requests that were sent in the background, by name.
+	// pending has a channel for the answer to each request that was sent in the
+	// background, by the name of the request.
 	pending   map[string]chan response
 	repeaters map[string]*repeater
 }
@@ -70,7 +71,8 @@
 	}
 }
 
-// cmdStart starts a program and waits for its listening line:
+// cmdStart starts a program and waits until it prints its listening line, which is
+// "listening key=value...":
 //
 //	start NAME PROGRAM ARGS...
 //
--- a/scenarios/measurement_test.go
+++ b/scenarios/measurement_test.go
@@ -13,8 +13,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// measurementCommands returns the commands that read counts from recorders, load
-// tables and nodes, and check them.
+// measurementCommands returns the commands that read and check counts, sheet versions
+// and answers, those that act in the background, and those that wait.
 func measurementCommands() map[string]func(ts *testscript.TestScript, neg bool, args []string) {
 	return map[string]func(ts *testscript.TestScript, neg bool, args []string){
 		"runs":          cmdRuns,
@@ -111,8 +111,8 @@
 	}
 }
 
-// cmdField sets a variable to the match of the first group of a pattern in the
-// answer of a URL: field VARIABLE URL PATTERN.
+// cmdField sets a variable to what the first group of a pattern matches in the body
+// of a URL: field VARIABLE URL PATTERN.
 func cmdField(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 3 {
 		ts.Fatalf("usage: field VARIABLE URL PATTERN")
@@ -157,7 +157,7 @@
 	time.Sleep(d)
 }
 
-// cmdFetched waits until the answer of a URL matches: fetched URL PATTERN.
+// cmdFetched repeats a GET until the body matches: fetched URL PATTERN.
 func cmdFetched(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 2 {
 		ts.Fatalf("usage: fetched URL PATTERN")
@@ -173,7 +173,8 @@
 	ts.Fatalf("%s was not met within %v; last answer:\n%s", args[1], conditionTimeout, last)
 }
 
-// cmdNewFleet starts a new fleet: the next node has no seeds: newfleet.
+// cmdNewFleet lets the next node start without seeds, as the first one of a new
+// fleet: newfleet.
 func cmdNewFleet(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) != 0 {
 		ts.Fatalf("usage: newfleet")
--- a/scenarios/ran_test.go
+++ b/scenarios/ran_test.go
@@ -7,7 +7,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cmdRan fails unless backend servers started a request exactly COUNT times:
+// cmdRan fails unless backend servers started the request with the id ID exactly
+// COUNT times:
 //
 //	ran RECORDER-ADDRESS ID COUNT
 func cmdRan(ts *testscript.TestScript, neg bool, args []string) {
--- a/scenarios/send_test.go
+++ b/scenarios/send_test.go
@@ -11,7 +11,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// response is the response to a request of a script, or the error without one.
+// response is the answer to a request of a script, or the error when there is none.
 type response struct {
 	status string
 	header http.Header
--- a/scenarios/supervise_test.go
+++ b/scenarios/supervise_test.go
@@ -18,7 +18,8 @@
 	stop chan struct{}
 	done chan struct{}
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// ended counts how often the program has ended.
 	ended int
 }
 
--- a/scenarios/watch_test.go
+++ b/scenarios/watch_test.go
@@ -13,8 +13,11 @@
 	stop chan struct{}
 	done sync.WaitGroup
 
-	mu        sync.Mutex
-	versions  map[string][]uint64
+	mu sync.Mutex
+	// versions has the versions of each node in the order seen, by its admin address.
+	versions map[string][]uint64
+	// reversals has the admin address of a node for each time that its version went
+	// back.
 	reversals []string
 	polls     int
 }
