--- a/node/executor/executor.go
+++ b/node/executor/executor.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	x := &executor.Executor{Runner: r, Clock: clock, Transport: links, Requests: d}
+//	x := &executor.Executor{Runner: r, Clock: clock, Transport: links, Requests: d, ...}
 //	x.Run()
 //	defer x.Close()
 //	x.Call("node-2", call)
@@ -29,8 +29,8 @@
 	resultReserve = 1024
 	// tickInterval is the time between updates of levels and reports.
 	// queueTickInterval applies while calls are queued, so that they are dropped soon
-	// after they have become unservable. With it at all times an idle node would
-	// spend most of its processor time on ticks.
+	// after they have become unservable. An idle node that always used the shorter
+	// interval would spend most of its processor time on ticks.
 	tickInterval         = 100 * time.Millisecond
 	queueTickInterval    = 20 * time.Millisecond
 	suspectCountInterval = time.Second
@@ -64,7 +64,7 @@
 
 	inbox       *ring.Ring[event]
 	duty        looper.Looper[event]
-	work        *ring.Ring[job]
+	jobs        *ring.Ring[job]
 	workers     sync.WaitGroup
 	workerCount int
 	target      atomic.Pointer[cassiatally.BackendTarget]
@@ -72,7 +72,7 @@
 	cancels     map[cassiatally.CallID]context.CancelFunc
 	ctx         context.Context
 	cancel      context.CancelFunc
-	state       cassiatally.EndpointState
+	loggedState cassiatally.EndpointState
 	// lastTick and lastReport are the times of the last tick and the last report.
 	lastTick, lastReport cassiatally.Instant
 	running              atomic.Int64
@@ -123,8 +123,8 @@
 	sharesEvent   struct {
 		shares [cassiatally.MaxRanks]cassiatally.Share
 	}
-	mergeCrashesEvent struct{ reports []cassiatally.CrashReport }
-	crashReportsEvent struct {
+	mergeCrashReportsEvent struct{ reports []cassiatally.CrashReport }
+	crashReportsEvent      struct {
 		from   cassiatally.NodeID
 		gossip cassiatally.Gossip
 	}
@@ -149,7 +149,7 @@
 	}
 	x.ctx, x.cancel = context.WithCancel(context.Background())
 	x.inbox = ring.New[event](inboxSize, ring.Wait)
-	x.work = ring.New[job](MaxWorkers, ring.RefuseNewest)
+	x.jobs = ring.New[job](MaxWorkers, ring.RefuseNewest)
 	x.replies = make(map[cassiatally.CallID]func(cassiatally.Answer))
 	x.cancels = make(map[cassiatally.CallID]context.CancelFunc)
 	x.counts.Store(&runner.Counts{})
@@ -177,7 +177,7 @@
 // Close stops the workers and the duty and waits for them.
 func (x *Executor) Close() {
 	x.cancel()
-	x.work.Close()
+	x.jobs.Close()
 	x.workers.Wait()
 	x.duty.Close()
 }
@@ -214,10 +214,11 @@
 	return x.inbox.Offer(announceEvent{a: a}, 0)
 }
 
-// Withdraw ends the announcement in force, since the backend server has left.
+// Withdraw queues the end of the announcement in force: the backend server has left.
 func (x *Executor) Withdraw() { x.inbox.Offer(withdrawEvent{}, 0) }
 
-// Leave refuses new work because the node is shutting down.
+// Leave queues the shutdown of the node, after which new work is refused. It blocks
+// while the inbox is full.
 func (x *Executor) Leave() { x.inbox.Push(x.ctx, leaveEvent{}) }
 
 // SetShares sets the reserved share of each rank, from the sheet in force.
@@ -227,7 +228,7 @@
 
 // MergeCrashReports queues crash reports that arrived with the gossip about members.
 func (x *Executor) MergeCrashReports(reports []cassiatally.CrashReport) {
-	x.inbox.Offer(mergeCrashesEvent{reports: reports}, 0)
+	x.inbox.Offer(mergeCrashReportsEvent{reports: reports}, 0)
 }
 
 // HandleCrashReports queues crash reports that another node sent directly, or its
@@ -268,8 +269,8 @@
 	counts := x.Runner.Counts()
 	x.counts.Store(&counts)
 	x.countSuspects(now)
-	if e.State != x.state {
-		x.state = e.State
+	if e.State != x.loggedState {
+		x.loggedState = e.State
 		x.Logger.Info("backend server state changed", "service", e.Service, "state", e.State)
 	}
 	reports := x.Quarantine.Reports(now)
@@ -381,7 +382,7 @@
 
 func (e sharesEvent) apply(x *Executor, _ cassiatally.Instant) { x.Runner.SetShares(e.shares) }
 
-func (e mergeCrashesEvent) apply(x *Executor, now cassiatally.Instant) {
+func (e mergeCrashReportsEvent) apply(x *Executor, now cassiatally.Instant) {
 	x.Quarantine.Merge(now, e.reports)
 }
 
@@ -448,7 +449,7 @@
 func (x *Executor) startRun(now cassiatally.Instant, c cassiatally.Call) {
 	ctx, cancel := context.WithTimeout(x.ctx, c.Remaining)
 	x.cancels[c.ID] = cancel
-	if x.work.Offer(job{ctx: ctx, call: c}, 0) {
+	if x.jobs.Offer(job{ctx: ctx, call: c}, 0) {
 		return
 	}
 	cancel()
@@ -470,7 +471,7 @@
 
 func (x *Executor) runWorker() {
 	for {
-		j, ok := x.work.Pop(x.ctx)
+		j, ok := x.jobs.Pop(x.ctx)
 		if !ok {
 			return
 		}
