--- a/node/dispatcher/dispatcher.go
+++ b/node/dispatcher/dispatcher.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	d := &dispatcher.Dispatcher{Router: r, Clock: clock, Transport: links}
+//	d := &dispatcher.Dispatcher{Router: r, Clock: clock, Transport: links, ...}
 //	d.Run()
 //	defer d.Close()
 //	d.Submit(request, func(a cassiatally.Answer) { ... })
@@ -78,10 +78,10 @@
 		from   cassiatally.NodeID
 		answer cassiatally.Answer
 	}
-	lostEvent    struct{ peer cassiatally.NodeRef }
-	silentEvent  struct{ peer cassiatally.NodeRef }
-	respondEvent struct{ peer cassiatally.NodeRef }
-	failedEvent  struct {
+	lostEvent       struct{ peer cassiatally.NodeRef }
+	silentEvent     struct{ peer cassiatally.NodeRef }
+	respondingEvent struct{ peer cassiatally.NodeRef }
+	failedEvent     struct {
 		to cassiatally.NodeID
 		m  cassiatally.Message
 	}
@@ -173,19 +173,20 @@
 	d.inbox.Push(context.Background(), lostEvent{peer: peer})
 }
 
-// LinkSilent queues that a node has sent nothing for some time on an open link. It is
-// dropped when the inbox is full; a link that stays silent ends soon.
+// LinkSilent queues the event that a node has sent nothing for some time on an open
+// link. It is dropped when the inbox is full; a link that stays silent ends soon.
 func (d *Dispatcher) LinkSilent(peer cassiatally.NodeRef) {
 	d.inbox.Offer(silentEvent{peer: peer}, 0)
 }
 
-// LinkResponding queues that a link to a node has opened, or that the node sends
-// again. It is dropped when the inbox is full; the endpoint is tried again later.
+// LinkResponding queues the event that a link to a node has opened, or that a message
+// has arrived on a silent one. It is dropped when the inbox is full; the endpoint is
+// tried again later.
 func (d *Dispatcher) LinkResponding(peer cassiatally.NodeRef) {
-	d.inbox.Offer(respondEvent{peer: peer}, 0)
+	d.inbox.Offer(respondingEvent{peer: peer}, 0)
 }
 
-// SendFailed queues a message that was certainly not delivered.
+// SendFailed queues the failure to send a message, which was certainly not delivered.
 func (d *Dispatcher) SendFailed(to cassiatally.NodeID, m cassiatally.Message) {
 	// The duty itself may be the sender, so this must not block.
 	d.inbox.Offer(failedEvent{to: to, m: m}, 0)
@@ -244,7 +245,7 @@
 	d.carryOut(now, d.Router.LinkSilent(now, e.peer))
 }
 
-func (e respondEvent) apply(d *Dispatcher, _ cassiatally.Instant) {
+func (e respondingEvent) apply(d *Dispatcher, _ cassiatally.Instant) {
 	d.Balancer.MarkResponding(e.peer.Node)
 }
 
