--- a/node/linker/link.go
+++ b/node/linker/link.go
@@ -139,7 +139,7 @@
 // idle reports whether this end should close the link: it opened the link, and neither
 // this link nor another one to the same node is in use.
 func (k *link) idle() bool {
-	return k.outbound && k.unused() && !k.owner.otherLinkActive(k)
+	return k.outbound && k.unused() && !k.owner.otherLinkInUse(k)
 }
 
 // unused reports whether there was no request for requestIdleTimeout and no other
@@ -152,7 +152,7 @@
 // recordUse records a message that is written or was read.
 func (k *link) recordUse(m cassiatally.Message) {
 	now := time.Now()
-	if isAwaited(m) {
+	if inAwaitedExchange(m) {
 		k.lastRequest.Store(monotonic())
 	} else {
 		k.lastControl.Store(monotonic())
--- a/node/linker/linker.go
+++ b/node/linker/linker.go
@@ -116,7 +116,7 @@
 	failures map[cassiatally.Address]dialFailure
 }
 
-// failure is the last failed attempt to open a link to an address.
+// dialFailure is the last failed attempt to open a link to an address.
 type dialFailure struct {
 	at    time.Time
 	pause time.Duration
@@ -225,6 +225,7 @@
 	return k.push(m)
 }
 
+// linkTo returns the link to an address, and starts to open one if there is none.
 func (l *Linker) linkTo(to cassiatally.Address, node cassiatally.NodeID) (*link, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -283,8 +284,8 @@
 	l.remove(k)
 }
 
-// otherLinkActive reports whether another link to the same node carries requests.
-func (l *Linker) otherLinkActive(k *link) bool {
+// otherLinkInUse reports whether another link to the same node is in use.
+func (l *Linker) otherLinkInUse(k *link) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for other := range l.all {
@@ -364,7 +365,8 @@
 	}
 }
 
-// remove removes an ended link and reports the messages that were not sent.
+// remove removes an ended link and passes the messages that were not sent to
+// Undelivered.
 func (l *Linker) remove(k *link) {
 	l.mu.Lock()
 	delete(l.all, k)
--- a/node/linker/traffic.go
+++ b/node/linker/traffic.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// isAwaited reports whether a message belongs to an exchange whose answer is awaited:
-// by a caller, or by the holder of a shard from its standby.
-func isAwaited(m cassiatally.Message) bool {
+// inAwaitedExchange reports whether a message belongs to an exchange whose answer is
+// awaited: by a caller, or by the holder of a shard from its standby.
+func inAwaitedExchange(m cassiatally.Message) bool {
 	switch m.(type) {
 	case cassiatally.ClaimUpdate, cassiatally.ClaimAck, cassiatally.ClaimCopy:
 		return true
