--- a/node/claimkeeper/claimkeeper.go
+++ b/node/claimkeeper/claimkeeper.go
@@ -57,10 +57,10 @@
 	Codec      *protocol.Codec
 	Logger     cassiatally.Logger
 	NextID     func() cassiatally.CallID
-	// Retries is the retry budget of a claimed request.
+	// Retries is the number of retries that a claimed request may use.
 	Retries cassiatally.RetryCount
-	// OnEpochs is called by the duty with the sum of epochs when the shard table of the
-	// own data centre changes.
+	// OnEpochs is called by the duty with the sum of epochs when the shard table of
+	// this data centre changes.
 	OnEpochs func(cassiatally.Epoch)
 
 	inbox          *ring.Ring[event]
@@ -84,7 +84,7 @@
 	holdersLive, holdersChecked bool
 }
 
-// Run starts the duty, the log reader and the log appender.
+// Run starts the duty and the log appender.
 func (k *Keeper) Run() {
 	k.ctx, k.cancel = context.WithCancel(context.Background())
 	k.inbox = ring.New[event](inboxSize, ring.Wait)
@@ -122,7 +122,7 @@
 // another data centre causes its table to be requested.
 func (k *Keeper) Shards() cassiatally.ShardView { return k.view.Load().tracked(k) }
 
-// Table returns the assignments of the own data centre.
+// Table returns the assignments of this data centre.
 func (k *Keeper) Table() []cassiatally.Assignment { return k.view.Load().table }
 
 // Drained reports whether this node holds no shard that another member could take
@@ -175,7 +175,7 @@
 func (k *Keeper) SetMembers(v *registrar.View) { k.inbox.Offer(membersEvent{view: v}, 0) }
 
 // PeerEpochs queues the sum of epochs that another node of this data centre announced.
-// A higher sum than the own one shows that the own shard table is stale.
+// A sum higher than that of this node shows that its shard table is stale.
 func (k *Keeper) PeerEpochs(from cassiatally.NodeRef, sum cassiatally.Epoch) {
 	k.inbox.Offer(epochsEvent{from: from, sum: sum}, 0)
 }
@@ -315,7 +315,7 @@
 			if a.Assignment.Epoch > 1 && faultswitch.Off(faultswitch.WinningRecord) {
 				k.Assigner.Adopt(cassiatally.ShardTable{Assignments: []cassiatally.Assignment{a.Assignment}})
 				k.tableChanged(now)
-				k.publish()
+				k.publishView()
 			}
 		default:
 		}
--- a/node/claimkeeper/stream.go
+++ b/node/claimkeeper/stream.go
@@ -33,15 +33,16 @@
 	}
 	k.Assigner.StartAt(e.batch.Oldest)
 	for _, r := range e.batch.Records {
-		k.fold(now, r)
+		k.foldRecord(now, r)
 	}
 	k.Assigner.EndAt(e.batch.Next, len(e.batch.Records) == 0)
 	k.tableChanged(now)
-	k.publish()
+	k.publishView()
 	k.followLog()
 }
 
-func (k *Keeper) fold(now cassiatally.Instant, r cassiatally.LogRecord) {
+// foldRecord applies the assignments of a log record to the shard table.
+func (k *Keeper) foldRecord(now cassiatally.Instant, r cassiatally.LogRecord) {
 	m, err := k.Codec.Decode(r.Data)
 	if err != nil {
 		k.Logger.Warn("log record skipped", "stream", k.stream(), "offset", r.Offset, "error", err)
@@ -64,11 +65,11 @@
 		if !ok {
 			return
 		}
-		k.inbox.Push(k.ctx, appendEvent{assignment: as, err: k.append(as)})
+		k.inbox.Push(k.ctx, appendEvent{assignment: as, err: k.appendAssignment(as)})
 	}
 }
 
-func (k *Keeper) append(as cassiatally.Assignment) error {
+func (k *Keeper) appendAssignment(as cassiatally.Assignment) error {
 	return k.Log.Append(k.ctx, k.stream(), cassiatally.ShardTable{Assignments: []cassiatally.Assignment{as}})
 }
 
--- a/node/claimkeeper/tables.go
+++ b/node/claimkeeper/tables.go
@@ -11,8 +11,8 @@
 	holders    map[cassiatally.ShardRef]cassiatally.Assignment
 }
 
-// shardView has the assignments of the own data centre, from the log, and those of
-// other data centres, from their tables. It is immutable.
+// shardView has the assignments of this data centre, from the log, and those of other
+// data centres, from their tables. It is immutable.
 type shardView struct {
 	ownDataCentre cassiatally.DataCentre
 	own           cassiatally.ShardView
@@ -71,7 +71,7 @@
 		k.tableChanged(now)
 	}
 	if changed {
-		k.publish()
+		k.publishView()
 	}
 }
 
@@ -89,8 +89,8 @@
 	return true
 }
 
-// tableChanged passes changes of the own table to the claimer, to gossip and to the
-// nodes concerned.
+// tableChanged passes changes of the table of this data centre to the claimer, to
+// gossip, and to the holders and standbys of the changed shards.
 func (k *Keeper) tableChanged(now cassiatally.Instant) {
 	k.holdersChecked = false
 	changed := k.Assigner.Changed()
@@ -153,6 +153,8 @@
 	return "", false
 }
 
+// allHoldersLive reports whether every shard of this data centre has a live holder. It
+// reuses the result until the members or the table change.
 func (k *Keeper) allHoldersLive() bool {
 	if !k.holdersChecked {
 		k.holdersLive, k.holdersChecked = k.checkHolders(), true
@@ -174,9 +176,9 @@
 	return len(table) > 0
 }
 
-// publish replaces the view that readers use. The maps in foreign tables are never
+// publishView replaces the view that readers use. The maps in foreign tables are never
 // changed after publication.
-func (k *Keeper) publish() {
+func (k *Keeper) publishView() {
 	foreign := make(map[cassiatally.DataCentre]foreignTable, len(k.foreignTables))
 	for dc, t := range k.foreignTables {
 		foreign[dc] = t
