--- a/node/gatekeeper/flusher.go
+++ b/node/gatekeeper/flusher.go
@@ -6,7 +6,7 @@
 	"github.com/cassiatally/cassiatally/cassiatally/ring"
 )
 
-// flusher is the duty that regularly logs how many log lines were suppressed.
+// flusher is the duty that regularly logs how many log lines were omitted.
 type flusher struct {
 	clock cassiatally.Clock
 	flush func()
--- a/node/gatekeeper/gatekeeper.go
+++ b/node/gatekeeper/gatekeeper.go
@@ -63,13 +63,13 @@
 	removeAfter     = 10 * time.Second
 	// drainPoll is how often Drain checks whether the work in flight has ended.
 	drainPoll = 20 * time.Millisecond
-	// maxMissedHeartbeats is the number of heartbeats after which a backend server that
-	// has not reported counts as gone.
+	// maxMissedHeartbeats is the number of missed heartbeats after which the announcement
+	// of a backend server expires.
 	maxMissedHeartbeats = 4
 	flushInterval       = time.Second
-	// keptProportion is the fraction of its proportional share that less urgent work
-	// keeps in a shortage.
-	keptProportion = 0.85
+	// reservedProportion is the fraction of its proportional share that is reserved for
+	// each less urgent rank while capacity does not suffice for all.
+	reservedProportion = 0.85
 	// remoteMargin keeps calls in their data centre while the endpoints there take less
 	// than two and a half times as long as others. Endpoints of a service differ in speed
 	// by a factor of two, and traffic between data centres costs more than that time.
@@ -119,7 +119,7 @@
 	seq        atomic.Uint64
 	leaving    atomic.Bool
 	logs       *loglimiter.Limiter
-	reports    *reporter.Reporter
+	metrics    *reporter.Reporter
 	links      *linker.Linker
 	members    *memberkeeper.Keeper
 	dispatcher *dispatcher.Dispatcher
@@ -194,7 +194,7 @@
 }
 
 // Metrics serves the metrics of the node.
-func (g *Gatekeeper) Metrics() http.Handler { return g.reports.Handler() }
+func (g *Gatekeeper) Metrics() http.Handler { return g.metrics.Handler() }
 
 // Drain announces to other nodes that this one is leaving, refuses new runs, and waits
 // until the work in flight has ended or ctx is done. It waits at least minWait, the time
@@ -235,10 +235,10 @@
 	if err != nil {
 		return err
 	}
-	if g.reports, err = reporter.New(g.Settings.Node, g.Settings.DataCentre); err != nil {
+	if g.metrics, err = reporter.New(g.Settings.Node, g.Settings.DataCentre); err != nil {
 		return err
 	}
-	g.onClose(g.reports.Close)
+	g.onClose(g.metrics.Close)
 	g.links = &linker.Linker{
 		Self:        g.self,
 		DataCentre:  g.Settings.DataCentre,
@@ -321,7 +321,7 @@
 		Requests:     requests{g.dispatcher},
 		Runs:         runs{g},
 		Clock:        g.Clock,
-		Observer:     g.reports,
+		Observer:     g.metrics,
 		Logger:       g.logs,
 		NextID:       g.nextID,
 		LocalService: func() cassiatally.Service { return g.instances.LocalService() },
@@ -331,7 +331,7 @@
 func (g *Gatekeeper) buildExecutor() {
 	quarantine := quarantiner.New(g.self)
 	g.executor = &executor.Executor{
-		Runner:      runner.New(g.self, &admitter.Admitter{Proportion: keptProportion}, &fixedlimiter.Limiter{UseSlots: true}, quarantine, g.nextID),
+		Runner:      runner.New(g.self, &admitter.Admitter{Proportion: reservedProportion}, &fixedlimiter.Limiter{UseSlots: true}, quarantine, g.nextID),
 		Quarantine:  quarantine,
 		Clock:       g.Clock,
 		Transport:   g.links,
@@ -340,7 +340,7 @@
 		AnnounceTTL: maxMissedHeartbeats * g.Settings.Heartbeat,
 		Logger:      g.logs,
 		OnEndpoint:  g.members.SetEndpoint,
-		OnQueueWait: g.reports.QueueWait,
+		OnQueueWait: g.metrics.QueueWait,
 	}
 }
 
@@ -389,12 +389,13 @@
 // runs gives the forwarder access to the executor, which is built after it.
 type runs struct{ g *Gatekeeper }
 
-// Child passes an onward call of the backend server to the executor.
+// BeginChild passes an onward call of the backend server to the executor.
 func (r runs) BeginChild(c runner.ChildCall, reply func(cassiatally.Answer)) bool {
 	return r.g.executor.BeginChild(c, reply)
 }
 
-// ChildGone cancels an onward call that nobody waits for any more.
+// AbandonChild cancels an onward call for which the backend server does not wait any
+// more.
 func (r runs) AbandonChild(waiter cassiatally.CallID) { r.g.executor.AbandonChild(waiter) }
 
 // noShards is the shard view of nodes that hold no idempotency keys.
--- a/node/gatekeeper/gatekeeper_test.go
+++ b/node/gatekeeper/gatekeeper_test.go
@@ -229,8 +229,8 @@
 	return f, a, b
 }
 
-// Guards against taking a call of one node for a copy of another node's call, so that
-// its caller gets no answer: nodes that start in the same microsecond have equal
+// Guards against mistaking a call of one node for a copy of another node's call, whose
+// caller then gets no answer: nodes that start in the same microsecond have equal
 // incarnations.
 func TestNodesStartedTogether(t *testing.T) {
 	is := is.New(t)
@@ -332,7 +332,7 @@
 }
 
 // Guards against calls that reach a backend server after the node acknowledged its
-// draining, and against answers that do not say that the request was not run.
+// draining, and against answers to refused calls with another outcome than not run.
 func TestDrainingBackend(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
@@ -417,7 +417,7 @@
 
 // Guards against sending a backend server an unbounded number of calls after a restart
 // of the node, because its health check does not report its slots.
-func TestRestartWithoutKnownSlots(t *testing.T) {
+func TestRestartWithoutReportedSlots(t *testing.T) {
 	is := is.New(t)
 	f := &fleet{store: newStore()}
 	f.store.publish(table(3))
