--- a/node/supervisor/status.go
+++ b/node/supervisor/status.go
@@ -60,7 +60,7 @@
 		Shards:      shardStatus(s.claims.Table()),
 		Requests: adminserver.RequestStatus{
 			InFlight:          s.callers.InFlight(),
-			Refused:           refusedStatus(s.reports.Refusals()),
+			Refused:           refusedStatus(s.metrics.Refusals()),
 			RefusedAtEntry:    counts.RefusedAtEntry,
 			Retries:           counts.Retries,
 			RetriesDenied:     counts.RetriesDenied,
--- a/node/supervisor/supervisor.go
+++ b/node/supervisor/supervisor.go
@@ -63,7 +63,7 @@
 	codec      *protocol.Codec
 	logClient  *logclient.Client
 	links      *linker.Linker
-	reports    *reporter.Reporter
+	metrics    *reporter.Reporter
 	members    *memberkeeper.Keeper
 	sheets     *sheetkeeper.Keeper
 	claims     *claimkeeper.Keeper
@@ -87,7 +87,7 @@
 	}
 	s.origin = cassiatally.CallOriginOf(s.self)
 	steps := []func() error{
-		s.buildBase, s.startLinks, s.buildRegistrar, s.startDuties, s.startServers,
+		s.buildBase, s.openLinks, s.buildRegistrar, s.startDuties, s.startServers,
 	}
 	for _, step := range steps {
 		if err := step(); err != nil {
@@ -121,17 +121,18 @@
 	if s.codec, err = protocol.New(); err != nil {
 		return err
 	}
-	if s.reports, err = reporter.New(s.Settings.Node.ID, s.Settings.Node.DataCentre); err != nil {
+	if s.metrics, err = reporter.New(s.Settings.Node.ID, s.Settings.Node.DataCentre); err != nil {
 		return err
 	}
-	s.onClose(s.reports.Close)
+	s.onClose(s.metrics.Close)
 	logAddress := strings.TrimPrefix(s.Settings.Log.Address, "http://")
 	s.logClient = &logclient.Client{Address: cassiatally.Address(logAddress), Timeout: s.Settings.Log.Timeout}
 	s.onClose(s.logClient.Close)
 	return nil
 }
 
-func (s *Supervisor) startLinks() error {
+// openLinks builds the linker and the duties, and opens the listener for links.
+func (s *Supervisor) openLinks() error {
 	cfg := s.Settings
 	s.links = &linker.Linker{
 		Self:        s.self,
@@ -155,8 +156,8 @@
 	return nil
 }
 
-// buildDuties builds all duties, but for the registrar, before the first of them starts,
-// since they refer to each other.
+// buildDuties builds all duties before the first of them starts, since they refer to
+// each other. The registrar, which the member keeper needs, is built later.
 func (s *Supervisor) buildDuties() {
 	s.members = &memberkeeper.Keeper{
 		Clock:    s.Clock,
@@ -201,7 +202,7 @@
 		Backend:     &backendclient.Client{},
 		Logger:      s.logs,
 		OnEndpoint:  s.members.SetEndpoint,
-		OnQueueWait: s.reports.QueueWait,
+		OnQueueWait: s.metrics.QueueWait,
 	}
 }
 
@@ -278,14 +279,14 @@
 		DefaultTimeout: cfg.Requests.DefaultTimeout,
 		MaxTimeout:     cfg.Requests.MaxTimeout,
 	}
-	s.admin = &adminserver.Server{Listen: cfg.Listen.Admin, Status: s.Status, Metrics: s.reports.Handler()}
+	s.admin = &adminserver.Server{Listen: cfg.Listen.Admin, Status: s.Status, Metrics: s.metrics.Handler()}
 	s.backend = &backendserver.Server{
 		Listen: cfg.Listen.Backend, DataCentre: cfg.Node.DataCentre, Reader: reader, Clock: s.Clock,
 		Executor: s.executor, Policies: s.sheets.Policies, NextID: s.nextID,
 	}
 	s.callers = &callerserver.Server{
 		Listen: cfg.Listen.Callers, DataCentre: cfg.Node.DataCentre, Reader: reader, Clock: s.Clock,
-		Requests: requests{s.dispatcher}, Keys: s.claims, Observer: s.reports, Policies: s.sheets.Policies,
+		Requests: requests{s.dispatcher}, Keys: s.claims, Observer: s.metrics, Policies: s.sheets.Policies,
 		NextID: s.nextID, Retries: cfg.Retries.PerRoot, MaxInFlight: cfg.Requests.MaxInFlight,
 	}
 	servers := []interface {
@@ -298,7 +299,7 @@
 		}
 		s.onClose(server.Close)
 	}
-	s.samples = &sampler.Sampler{Clock: s.Clock, Status: s.Status, Metrics: s.reports, AfterSample: s.logs.Flush}
+	s.samples = &sampler.Sampler{Clock: s.Clock, Status: s.Status, Metrics: s.metrics, AfterSample: s.logs.Flush}
 	s.samples.Run()
 	s.onClose(s.samples.Close)
 	return nil
