--- a/node/loglimiter/limiter.go
+++ b/node/loglimiter/limiter.go
@@ -39,24 +39,24 @@
 	clock  cassiatally.Clock
 
 	mu     sync.Mutex
-	counts map[line]*count
+	counts map[eventKey]*count
 }
 
-type line struct {
+type eventKey struct {
 	level log.Level
 	event any
 }
 
 // count has the numbers of written and omitted lines of one event in a window.
 type count struct {
-	since   cassiatally.Instant
-	written int
-	omitted int
+	windowStart cassiatally.Instant
+	written     int
+	omitted     int
 }
 
 // New returns a limiter that writes to a logger.
 func New(logger *log.Logger, clock cassiatally.Clock) *Limiter {
-	return &Limiter{logger: logger, clock: clock, counts: make(map[line]*count)}
+	return &Limiter{logger: logger, clock: clock, counts: make(map[eventKey]*count)}
 }
 
 // Debug writes a line for developers.
@@ -75,9 +75,9 @@
 	if level < l.logger.GetLevel() {
 		return
 	}
-	omitted, ok := l.countLine(line{level, event})
+	omitted, ok := l.countLine(eventKey{level, event})
 	if omitted > 0 {
-		l.logOmitted(line{level, event}, omitted)
+		l.logOmitted(eventKey{level, event}, omitted)
 	}
 	if ok {
 		l.logger.Log(level, event, fields...)
@@ -86,18 +86,18 @@
 
 // countLine reports whether a line may be written now, and how many lines of the event
 // were omitted in the previous window if that has just ended.
-func (l *Limiter) countLine(k line) (omitted int, ok bool) {
+func (l *Limiter) countLine(k eventKey) (omitted int, ok bool) {
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.counts[k]
 	if c == nil {
-		c = &count{since: now}
+		c = &count{windowStart: now}
 		l.counts[k] = c
 	}
-	if now.Reached(c.since.Add(window)) {
+	if now.Reached(c.windowStart.Add(window)) {
 		omitted = c.omitted
-		*c = count{since: now}
+		*c = count{windowStart: now}
 	}
 	if c.written == LinesPerWindow {
 		c.omitted++
@@ -110,10 +110,10 @@
 // Flush writes the numbers of omitted lines of windows that have ended.
 func (l *Limiter) Flush() {
 	now := l.clock.Now()
-	ended := make(map[line]int)
+	ended := make(map[eventKey]int)
 	l.mu.Lock()
 	for k, c := range l.counts {
-		if now.Reached(c.since.Add(window)) {
+		if now.Reached(c.windowStart.Add(window)) {
 			if c.omitted > 0 {
 				ended[k] = c.omitted
 			}
@@ -126,6 +126,6 @@
 	}
 }
 
-func (l *Limiter) logOmitted(k line, omitted int) {
+func (l *Limiter) logOmitted(k eventKey, omitted int) {
 	l.logger.Log(k.level, "log lines left out", "event", k.event, "count", omitted)
 }
