--- a/node/forwarder/forwarder.go
+++ b/node/forwarder/forwarder.go
@@ -34,7 +34,7 @@
 	refusalRetryAfter = 500 * time.Millisecond
 )
 
-// Runs takes the onward calls of the runs at the backend server of this host. The
+// Runs accepts the onward calls of the runs at the backend server of this host. The
 // executor implements it.
 type Runs interface {
 	BeginChild(c runner.ChildCall, reply func(cassiatally.Answer)) bool
@@ -163,12 +163,12 @@
 	a, ok := w.Wait(ctx)
 	if !ok {
 		f.Runs.AbandonChild(req.ID)
-		return callerLeft(), true
+		return cancelledAnswer(), true
 	}
 	return a, a.Kind != cassiatally.KindUnknownParent
 }
 
-func callerLeft() cassiatally.Answer {
+func cancelledAnswer() cassiatally.Answer {
 	return cassiatally.Answer{Outcome: cassiatally.OutcomeUnknown, Kind: cassiatally.KindCancelled, Detail: "the caller left"}
 }
 
@@ -184,7 +184,7 @@
 		return a
 	}
 	f.Requests.Withdraw(req.ID)
-	return callerLeft()
+	return cancelledAnswer()
 }
 
 func (f *Forwarder) logAnswer(req cassiatally.Request, a cassiatally.Answer, took time.Duration) {
