--- a/node/callerserver/server.go
+++ b/node/callerserver/server.go
@@ -91,7 +91,7 @@
 	if failure != nil {
 		return refuse(c, failure)
 	}
-	req, failure := s.request(parts, policy, arrived)
+	req, failure := s.newRequest(parts, policy, arrived)
 	if failure != nil {
 		return refuse(c, failure)
 	}
@@ -127,7 +127,7 @@
 	return cassiatally.Policy{}, cassiatally.NewError(cassiatally.KindInternal, "%v", err)
 }
 
-func (s *Server) request(parts requestreader.Parts, policy cassiatally.Policy, arrived cassiatally.Instant) (cassiatally.Request, *cassiatally.Error) {
+func (s *Server) newRequest(parts requestreader.Parts, policy cassiatally.Policy, arrived cassiatally.Instant) (cassiatally.Request, *cassiatally.Error) {
 	root, failure := rootOf(parts, policy)
 	if failure != nil {
 		return cassiatally.Request{}, failure
