--- a/node/sampler/sampler.go
+++ b/node/sampler/sampler.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	s := &sampler.Sampler{Clock: clock, Status: node.Status, Metrics: reports, AfterSample: logs.Flush}
+//	s := &sampler.Sampler{Clock: clock, Status: node.Status, Metrics: metrics, AfterSample: logs.Flush}
 //	s.Run()
 //	defer s.Close()
 package sampler
@@ -51,18 +51,18 @@
 
 func (s *Sampler) tick(cassiatally.Instant) {
 	st := s.Status()
-	s.fleet(&st)
-	s.local(&st.Local)
-	s.shards(&st)
-	s.requests(&st.Requests)
-	s.traffic(&st.Traffic)
+	s.sampleFleet(&st)
+	s.sampleLocal(&st.Local)
+	s.sampleShards(&st)
+	s.sampleRequests(&st.Requests)
+	s.sampleTraffic(&st.Traffic)
 	for duty, n := range st.RefusedByDuty {
 		s.advanceCounter("inbox_refused", n, map[string]string{"duty": duty})
 	}
 	s.AfterSample()
 }
 
-func (s *Sampler) fleet(st *adminserver.Status) {
+func (s *Sampler) sampleFleet(st *adminserver.Status) {
 	suspects := 0
 	for i := range st.Members {
 		if st.Members[i].Suspect {
@@ -77,7 +77,7 @@
 	s.Metrics.Gauge("leaving", boolGauge(st.Leaving))
 }
 
-func (s *Sampler) local(l *adminserver.LocalStatus) {
+func (s *Sampler) sampleLocal(l *adminserver.LocalStatus) {
 	s.Metrics.Gauge("backend_ready", boolGauge(l.State == cassiatally.EndpointReady.String()))
 	s.Metrics.Gauge("slots", float64(l.Slots))
 	s.Metrics.Gauge("limit", float64(l.Limit))
@@ -96,7 +96,7 @@
 	s.advanceCounter("backend_crashes", l.Crashes, nil)
 }
 
-func (s *Sampler) shards(st *adminserver.Status) {
+func (s *Sampler) sampleShards(st *adminserver.Status) {
 	held, standby, withoutStandby := 0, 0, 0
 	for _, v := range st.Shards {
 		switch {
@@ -114,7 +114,7 @@
 	s.Metrics.Gauge("shards_without_standby", float64(withoutStandby))
 }
 
-func (s *Sampler) requests(r *adminserver.RequestStatus) {
+func (s *Sampler) sampleRequests(r *adminserver.RequestStatus) {
 	s.Metrics.Gauge("callers_waiting", float64(r.InFlight))
 	s.advanceCounter("refused_at_entry", r.RefusedAtEntry, nil)
 	s.advanceCounter("retries", r.Retries, nil)
@@ -126,7 +126,7 @@
 	s.advanceCounter("outcome_queries", r.OutcomeQueries, nil)
 }
 
-func (s *Sampler) traffic(t *adminserver.TrafficStatus) {
+func (s *Sampler) sampleTraffic(t *adminserver.TrafficStatus) {
 	s.Metrics.Gauge("links", float64(t.Links))
 	s.advanceCounter("request_sent_bytes", t.RequestSentBytes, nil)
 	s.advanceCounter("request_received_bytes", t.RequestReceivedBytes, nil)
