--- a/node/introducer/introducer_test.go
+++ b/node/introducer/introducer_test.go
@@ -29,7 +29,7 @@
 	defer s.mu.Unlock()
 	s.loads++
 	if s.unavailable {
-		return nil, errors.New("the store is away")
+		return nil, errors.New("the store is unavailable")
 	}
 	return append([]cassiatally.Member(nil), s.members...), nil
 }
@@ -39,7 +39,7 @@
 	defer s.mu.Unlock()
 	s.saves++
 	if s.unavailable {
-		return errors.New("the store is away")
+		return errors.New("the store is unavailable")
 	}
 	s.members = append(s.members, m)
 	return nil
@@ -102,7 +102,7 @@
 
 // Guards against a node that stays alone because it loaded the members before the other
 // nodes had saved their addresses.
-func TestFirstNodeFindsTheOthers(t *testing.T) {
+func TestFirstNodeDiscoversTheOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &store{}
