--- a/node/instancekeeper/instancekeeper.go
+++ b/node/instancekeeper/instancekeeper.go
@@ -41,7 +41,7 @@
 	Backend cassiatally.BackendGate
 	Prober  cassiatally.BackendProber
 	Logger  cassiatally.Logger
-	// Service and Address are where the settings expect the backend server.
+	// Service and Address are those of the backend server in the settings.
 	Service cassiatally.Service
 	Address cassiatally.Address
 	// Restarted is set if the host ran a node before. The backend server may then be
@@ -125,7 +125,7 @@
 	return k.inbox.Push(ctx, reportEvent{report: r, done: done}) && await(ctx, done)
 }
 
-// Deregister queues that an instance leaves and waits until that is processed.
+// Deregister queues the departure of an instance and waits until it is processed.
 func (k *Keeper) Deregister(ctx context.Context, id cassiatally.InstanceID) bool {
 	done := make(chan struct{})
 	return k.inbox.Push(ctx, deregisterEvent{id: id, done: done}) && await(ctx, done)
--- a/node/memberkeeper/memberkeeper.go
+++ b/node/memberkeeper/memberkeeper.go
@@ -194,7 +194,7 @@
 
 func (e mergeStoredEvent) apply(k *Keeper, now cassiatally.Instant) {
 	actions := k.Registrar.MergeStored(now, e.members)
-	k.publishView(now) // sending the introductions needs the addresses of the new members
+	k.publishView(now) // sending the announcements needs the addresses of the new members
 	k.carryOut(actions)
 }
 
--- a/node/routekeeper/routekeeper.go
+++ b/node/routekeeper/routekeeper.go
@@ -101,7 +101,7 @@
 	return m, m != nil
 }
 
-// Version returns the version in force, 0 before the first table.
+// Version returns the version of the table in force, 0 before the first table.
 func (k *Keeper) Version() cassiatally.Version {
 	if m := k.routes.Load(); m != nil {
 		return m.Table().Version
@@ -127,8 +127,8 @@
 	}
 }
 
-// PeerVersion queues the version in force on another node if it is newer than the own
-// one.
+// PeerVersion queues the version in force on another node if it is newer than that on
+// this node.
 func (k *Keeper) PeerVersion(from cassiatally.NodeRef, v cassiatally.Version) {
 	if v > k.Version() {
 		k.inbox.Offer(peerVersionEvent{from: from.Node, version: v}, 0)
--- a/node/sheetkeeper/sheetkeeper.go
+++ b/node/sheetkeeper/sheetkeeper.go
@@ -35,7 +35,7 @@
 	batchReserve   = 32
 	tickInterval   = 100 * time.Millisecond
 	appendRingSize = 8
-	// sheetName is the file name that problems of a sheet from the log have.
+	// sheetName is the file name in problems of a sheet that was read from the log.
 	sheetName = "sheet.csv"
 )
 
