--- a/standin/core/doc.go
+++ b/standin/core/doc.go
@@ -1,12 +1,12 @@
-// Package core defines the vocabulary of the stand-ins: the records that
-// backend servers and callers keep, named types for their ids, the headers of
+// Package core defines the types that the stand-ins share: the records of runs
+// and of results reported to callers, named types for their ids, the headers of
 // the HTTP interfaces, and the interfaces of behaviour that varies.
-// Implementations live in the packages beside it.
+// The packages beside it implement these interfaces.
 //
 // # Usage
 //
 //	run := core.Run{Record: id, Service: "booking-svc", State: core.RunStarted}
 //	if err := sink.Record(ctx, run); err != nil {
-//		// the run must not start
+//		// do not start the run
 //	}
 package core
--- a/standin/core/record.go
+++ b/standin/core/record.go
@@ -8,19 +8,19 @@
 )
 
 type (
-	// RecordID names one execution of a request at one backend server process.
+	// RecordID identifies one execution of a request in one backend server process.
 	RecordID string
-	// RequestID is the id that a caller puts into the body of its request.
+	// RequestID is the id in the body of a caller's request.
 	RequestID string
-	// RunToken is the token that a node gives to a run.
+	// RunToken is the token that a node assigns to a run.
 	RunToken string
-	// Root is the id of a caller's request across its call chain, as text.
+	// Root is the id of a caller's request, shared by all calls of its call chain.
 	Root string
-	// RunState is the state of an execution.
+	// RunState is the state of a run.
 	RunState string
 )
 
-// The states of an execution.
+// The states of a run.
 const (
 	RunStarted  RunState = "started"
 	RunFinished RunState = "finished"
@@ -45,9 +45,9 @@
 	End     time.Time            `json:"end,omitzero"`
 }
 
-// RunSink keeps records of executions.
+// RunSink stores records of runs.
 type RunSink interface {
-	// Record keeps the state of an execution and returns once it is kept.
+	// Record stores the state of a run and returns once it is stored.
 	Record(ctx context.Context, r Run) error
 }
 
@@ -57,7 +57,7 @@
 	Sample(mean time.Duration) time.Duration
 }
 
-// Fault is what a caller found wrong with an answer.
+// Fault is a defect that a caller found in an answer.
 type Fault string
 
 // The faults of an answer.
@@ -65,21 +65,21 @@
 	FaultNone Fault = ""
 	// FaultForeign marks an answer to another request.
 	FaultForeign Fault = "foreign"
-	// FaultIncomplete marks an answer that ends early.
+	// FaultIncomplete marks an answer that is truncated or has no digest.
 	FaultIncomplete Fault = "incomplete"
 	// FaultCorrupted marks an answer that does not match its digest.
 	FaultCorrupted Fault = "corrupted"
 )
 
-// The outcomes that a caller is told, as text.
+// The outcomes that are reported to callers.
 const (
 	ToldRan     = "ran"
 	ToldNotRun  = "not_run"
 	ToldUnknown = "unknown"
 )
 
-// Told is what a caller was told about one request. Its JSON form is shared by
-// the callers, the recorder and the reconciler.
+// ReportedResult is the result of one request as it was reported to its caller.
+// Its JSON form is shared by the callers, the recorder and the reconciler.
 type Told struct {
 	ID      RequestID            `json:"id"`
 	Key     cassiatally.Key      `json:"key,omitempty"`
@@ -90,7 +90,8 @@
 	Kind    cassiatally.WorkKind `json:"kind"`
 	Tenant  cassiatally.Tenant   `json:"tenant,omitempty"`
 	Outcome string               `json:"outcome"`
-	// LookedUp is the outcome of the key when it was looked up afterwards.
+	// LookedUp is the outcome that a later query for the key returned; empty
+	// without a query.
 	LookedUp  string  `json:"looked_up,omitempty"`
 	ErrorKind string  `json:"error_kind,omitempty"`
 	Status    int     `json:"status"`
@@ -100,7 +101,7 @@
 	Fault     Fault   `json:"fault,omitempty"`
 }
 
-// ToldSink keeps what callers were told.
+// ResultSink stores results reported to callers.
 type ToldSink interface {
-	Tell(ctx context.Context, told []Told) error
+	Tell(ctx context.Context, results []Told) error
 }
