--- a/standin/recorder/client.go
+++ b/standin/recorder/client.go
@@ -12,31 +12,31 @@
 	"github.com/cassiatally/cassiatally/standin/core"
 )
 
-// Client sends records to a recorder and reads them back.
+// Client sends runs and reported results to a recorder and reads them back.
 type Client struct {
-	// URL is the address of the recorder.
+	// URL is the base URL of the recorder, without a trailing slash.
 	URL  string
 	HTTP *http.Client
 }
 
-// Record keeps the state of an execution at the recorder.
+// Record stores the state of a run at the recorder.
 func (c *Client) Record(ctx context.Context, r core.Run) error {
 	return c.post(ctx, runsPath, r)
 }
 
-// Tell keeps what callers were told at the recorder.
-func (c *Client) Tell(ctx context.Context, told []core.Told) error {
-	return c.post(ctx, toldPath, toldBody{Told: told})
+// RecordResults stores results reported to callers at the recorder.
+func (c *Client) Tell(ctx context.Context, results []core.Told) error {
+	return c.post(ctx, toldPath, toldBody{Told: results})
 }
 
-// Runs returns the runs that the recorder keeps.
+// Runs returns all runs that the recorder holds.
 func (c *Client) Runs(ctx context.Context) ([]core.Run, error) {
 	var body runsBody
 	err := c.get(ctx, runsPath, &body)
 	return body.Runs, err
 }
 
-// Told returns what callers were told, as the recorder keeps it.
+// ReportedResults returns all reported results that the recorder holds.
 func (c *Client) Told(ctx context.Context) ([]core.Told, error) {
 	var body toldBody
 	err := c.get(ctx, toldPath, &body)
--- a/standin/recorder/recorder.go
+++ b/standin/recorder/recorder.go
@@ -1,5 +1,6 @@
-// Package recorder keeps the records of many backend servers and callers behind
-// an HTTP interface, and has the client of that interface.
+// Package recorder stores the runs of all backend servers and the results
+// reported to callers, and serves them over HTTP. It includes the client of that
+// interface.
 //
 // # Usage
 //
@@ -31,7 +32,7 @@
 	toldPath      = "/v1/told"
 )
 
-// Server is the recorder.
+// Server is the HTTP server of the recorder.
 type Server struct {
 	owner *owner.Owner[recordbook.Book]
 }
@@ -59,12 +60,12 @@
 	Runs    int                  `json:"runs"`
 }
 
-// New returns a recorder of the book, which it owns from then on.
+// New returns a recorder that takes ownership of the book.
 func New(b *recordbook.Book) *Server {
 	return &Server{owner: owner.New(b, inboxCapacity)}
 }
 
-// Close waits for the end of the duty that owns the book.
+// Close stops the duty that owns the book and waits for it.
 func (s *Server) Close() { s.owner.Close() }
 
 // Handler returns the HTTP interface.
@@ -89,7 +90,7 @@
 	return s.add(c, func(b *recordbook.Book) error { return b.AddRun(run) })
 }
 
-// handleTold takes one result, or several under the field told.
+// handleAddResults accepts a single result, or several under the field told.
 func (s *Server) handleTold(c echo.Context) error {
 	var body struct {
 		core.Told
@@ -98,16 +99,16 @@
 	if err := httpserver.DecodeJSON(c, &body); err != nil {
 		return err
 	}
-	told := body.toldBody.Told
-	if len(told) == 0 {
-		told = []core.Told{body.Told}
+	results := body.toldBody.Told
+	if len(results) == 0 {
+		results = []core.Told{body.Told}
 	}
-	for _, t := range told {
-		if t.ID == "" {
+	for _, r := range results {
+		if r.ID == "" {
 			return echo.NewHTTPError(http.StatusBadRequest, "id is missing")
 		}
 	}
-	return s.add(c, func(b *recordbook.Book) error { return b.AddTold(told) })
+	return s.add(c, func(b *recordbook.Book) error { return b.AddTold(results) })
 }
 
 func (s *Server) add(c echo.Context, apply func(*recordbook.Book) error) error {
