--- a/standin/recordbook/recordbook.go
+++ b/standin/recordbook/recordbook.go
@@ -1,5 +1,5 @@
-// Package recordbook keeps what backend servers ran and what callers were told,
-// in memory, and counts the runs of each call of a call tree.
+// Package recordbook stores the runs of backend servers and the results reported
+// to callers in memory, and counts the runs of each call of a call tree.
 //
 // # Usage
 //
@@ -21,15 +21,15 @@
 	"github.com/cassiatally/cassiatally/standin/core"
 )
 
-// DefaultCapacity bounds the runs and, separately, what callers were told. A
-// million records take about 500 MB.
+// DefaultCapacity bounds the number of runs and, separately, of reported results.
+// A million records take about 500 MB.
 const DefaultCapacity = 1 << 20
 
-// ErrFull tells that the book has no room. A record is never dropped in
-// silence, since the reconciler would take it for a violation.
+// ErrFull is returned when the book is at capacity. A record is never dropped
+// silently, since the reconciler would report the missing record as a violation.
 var ErrFull = errors.New("the recorder holds as many records as it may")
 
-// Book is the records of one trial.
+// Book holds the records of one trial.
 type Book struct {
 	capacity int
 	runs     []core.Run
@@ -45,7 +45,8 @@
 	Runs    int
 }
 
-// Summary counts runs.
+// Summary counts runs and reported results. Doubles is the number of calls with
+// more than one run.
 type Summary struct {
 	Runs    int
 	Told    int
@@ -59,10 +60,11 @@
 	return &Book{capacity: capacity, index: make(map[core.RecordID]int)}
 }
 
-// AddRun adds a run or replaces its state. An end is never replaced by a start.
+// AddRun adds a run, or updates it if its record exists. A late start does not
+// replace a recorded end.
 func (b *Book) AddRun(r core.Run) error {
-	at, known := b.index[r.Record]
-	if known {
+	at, exists := b.index[r.Record]
+	if exists {
 		if r.State != core.RunStarted {
 			b.runs[at] = r
 		}
@@ -76,22 +78,23 @@
 	return nil
 }
 
-// AddTold adds what callers were told.
-func (b *Book) AddTold(told []core.Told) error {
-	if len(b.told)+len(told) > b.capacity {
+// AddReportedResults adds results reported to callers: all of them, or none when
+// they exceed the capacity.
+func (b *Book) AddTold(results []core.Told) error {
+	if len(b.told)+len(results) > b.capacity {
 		return ErrFull
 	}
-	b.told = append(b.told, told...)
+	b.told = append(b.told, results...)
 	return nil
 }
 
 // Runs returns a copy of the runs.
 func (b *Book) Runs() []core.Run { return append([]core.Run{}, b.runs...) }
 
-// Told returns a copy of what callers were told.
+// ReportedResults returns a copy of the results reported to callers.
 func (b *Book) Told() []core.Told { return append([]core.Told{}, b.told...) }
 
-// Summarise counts the runs and lists the groups with at least minRuns.
+// Summarise counts the records and lists the calls with at least minRuns runs.
 func (b *Book) Summarise(minRuns int) Summary {
 	s := Summary{Runs: len(b.runs), Told: len(b.told), States: make(map[core.RunState]int)}
 	counts := make(map[Group]int)
