--- a/standin/reconciler/reconciler.go
+++ b/standin/reconciler/reconciler.go
@@ -1,10 +1,10 @@
-// Package reconciler compares what callers were told with what backend servers
-// ran, and counts the violations of what the system promises.
+// Package reconciler compares the results reported to callers with the runs at
+// backend servers, and lists violations of the guarantees of the system.
 //
 // # Usage
 //
 //	r := reconciler.New(runs)
-//	report := r.Check(told)
+//	report := r.Check(results)
 //	if len(report.Violations) > 0 {
 //		return err
 //	}
@@ -18,32 +18,32 @@
 	"github.com/cassiatally/cassiatally/standin/core"
 )
 
-// Rule names a promise that can be violated.
+// Rule identifies a guarantee that is checked.
 type Rule string
 
 const (
-	// RuleNotRunButRan is violated when a request that was told not to have been
-	// run has a run.
+	// RuleNotRunButRan is violated when a request that was reported as not run has
+	// a run.
 	RuleNotRunButRan Rule = "not_run_but_ran"
-	// RuleKeyedRanTwice is violated when a request with a key has several runs.
+	// RuleKeyedRanTwice is violated when a request with a key has more than one run.
 	RuleKeyedRanTwice Rule = "keyed_ran_twice"
-	// RuleRanWithoutRun is violated when a request that was told to have been run
-	// has no run.
+	// RuleRanWithoutRun is violated when a request that was reported as run has no
+	// run.
 	RuleRanWithoutRun Rule = "ran_without_run"
 	// RuleForeignAnswer is violated by an answer to another request.
 	RuleForeignAnswer Rule = "foreign_answer"
-	// RuleIncompleteAnswer is violated by an answer that ends early or does not
+	// RuleIncompleteAnswer is violated by an answer that is truncated or does not
 	// match its digest.
 	RuleIncompleteAnswer Rule = "incomplete_answer"
 )
 
-// Rules returns all rules in their order.
+// Rules returns all rules in the order of the report.
 func Rules() []Rule {
 	return []Rule{RuleNotRunButRan, RuleKeyedRanTwice, RuleRanWithoutRun, RuleForeignAnswer, RuleIncompleteAnswer}
 }
 
-// Violation is one violated promise. Runs are those of the request, or of the
-// key when no caller's request is known.
+// Violation is one violation of a rule. Runs are the runs of the request, or of
+// the key when no reported result has that key.
 type Violation struct {
 	Rule  Rule
 	ID    core.RequestID
@@ -56,11 +56,12 @@
 type Report struct {
 	Told int
 	Runs int
-	// Unfinished counts runs without an end, as a killed backend server leaves them.
+	// Unfinished counts runs without a recorded end, such as those of a killed
+	// backend server.
 	Unfinished int
-	// Outcomes counts requests by what their callers were told.
+	// Outcomes counts requests by the outcome reported to their callers.
 	Outcomes map[string]int
-	// Repeated counts requests without a key that have several runs, which is
+	// Repeated counts requests without a key that have more than one run, which is
 	// allowed.
 	Repeated   int
 	Violations []Violation
@@ -77,15 +78,16 @@
 	return n
 }
 
-// request names a caller's request at the first service. Onward calls carry the
-// same id to other services or kinds of work.
+// requestKey identifies a caller's request at the service that it was sent to.
+// Service and kind are part of it since onward calls carry the same id to other
+// services or kinds of work.
 type request struct {
 	id      core.RequestID
 	service cassiatally.Service
 	kind    cassiatally.WorkKind
 }
 
-// Reconciler compares with the runs of one trial.
+// Reconciler checks reported results against the runs of one trial.
 type Reconciler struct {
 	runs       int
 	unfinished int
@@ -105,8 +107,8 @@
 			r.unfinished++
 		}
 		if run.ID != "" {
-			name := request{run.ID, run.Service, run.Kind}
-			r.byRequest[name] = append(r.byRequest[name], run.Record)
+			key := request{run.ID, run.Service, run.Kind}
+			r.byRequest[key] = append(r.byRequest[key], run.Record)
 		}
 		if run.Key != "" {
 			r.byKey[run.Key] = append(r.byKey[run.Key], run.Record)
@@ -115,11 +117,11 @@
 	return r
 }
 
-// Check compares what callers were told with the runs.
-func (r *Reconciler) Check(told []core.Told) Report {
-	report := Report{Told: len(told), Runs: r.runs, Unfinished: r.unfinished, Outcomes: make(map[string]int)}
-	reported := make(map[cassiatally.Key]bool)
-	for _, t := range told {
+// Check compares the reported results with the runs.
+func (r *Reconciler) Check(results []core.Told) Report {
+	report := Report{Told: len(results), Runs: r.runs, Unfinished: r.unfinished, Outcomes: make(map[string]int)}
+	listedKeys := make(map[cassiatally.Key]bool)
+	for _, t := range results {
 		report.Outcomes[t.Outcome]++
 		runs := r.byRequest[request{t.ID, t.Service, t.Kind}]
 		if t.Key == "" && len(runs) > 1 {
@@ -127,12 +129,12 @@
 		}
 		for _, rule := range violated(t, len(runs)) {
 			if rule == RuleKeyedRanTwice {
-				reported[t.Key] = true
+				listedKeys[t.Key] = true
 			}
 			report.Violations = append(report.Violations, Violation{Rule: rule, ID: t.ID, Key: t.Key, Class: t.Class, Runs: runs})
 		}
 	}
-	report.Violations = append(report.Violations, r.repeatedKeys(reported)...)
+	report.Violations = append(report.Violations, r.repeatedKeys(listedKeys)...)
 	return report
 }
 
@@ -156,12 +158,12 @@
 	return rules
 }
 
-// repeatedKeys finds keys with several runs whose callers are not known, such
-// as the keys of onward calls.
-func (r *Reconciler) repeatedKeys(reported map[cassiatally.Key]bool) []Violation {
+// unlistedRepeatedKeys returns violations for keys with more than one run that no
+// reported result has, such as the keys of onward calls.
+func (r *Reconciler) repeatedKeys(listedKeys map[cassiatally.Key]bool) []Violation {
 	var found []Violation
 	for key, runs := range r.byKey {
-		if len(runs) > 1 && !reported[key] {
+		if len(runs) > 1 && !listedKeys[key] {
 			found = append(found, Violation{Rule: RuleKeyedRanTwice, Key: key, Runs: runs})
 		}
 	}
