--- a/standin/reporter/reporter.go
+++ b/standin/reporter/reporter.go
@@ -1,6 +1,6 @@
-// Package reporter sends the ends of runs to a recorder, so that a run does not
-// hold its slot for that time. Starts are sent directly, since a run must not
-// start before its record is kept.
+// Package reporter sends the ends of runs to a recorder asynchronously, so that a
+// run does not occupy its slot while its end is being sent. Starts are sent
+// synchronously elsewhere, since a run must not start before its record is stored.
 //
 // # Usage
 //
@@ -23,12 +23,13 @@
 
 const (
 	inboxCapacity = 4096
-	// sendTimeout bounds one record, so that Close ends while a recorder is away.
+	// sendTimeout bounds the sending of one record, so that Close returns even while
+	// the recorder is unreachable.
 	sendTimeout = 2 * time.Second
 )
 
-// Reporter is the duty that sends the ends of runs. Senders wait while its ring
-// is full.
+// Reporter is the duty that sends the ends of runs. Push blocks while its ring is
+// full.
 type Reporter struct {
 	Sink   core.RunSink
 	Logger *log.Logger
@@ -43,10 +44,11 @@
 	r.wg.Go(r.run)
 }
 
-// Push hands a record over.
+// Push queues a record for sending. It returns false when ctx ends first or the
+// reporter is closed.
 func (r *Reporter) Push(ctx context.Context, v core.Run) bool { return r.inbox.Push(ctx, v) }
 
-// Close sends the records that were handed over and ends the duty.
+// Close sends the queued records and ends the duty.
 func (r *Reporter) Close() {
 	r.inbox.Close()
 	r.wg.Wait()
