--- a/standin/answerchecker/answerchecker.go
+++ b/standin/answerchecker/answerchecker.go
@@ -1,5 +1,5 @@
-// Package answerchecker verifies that an answer is the whole answer to a
-// caller's own request.
+// Package answerchecker verifies that an answer is complete, unaltered and the
+// answer to the caller's own request.
 //
 // # Usage
 //
@@ -22,7 +22,7 @@
 	ID      core.RequestID
 	Service cassiatally.Service
 	Kind    cassiatally.WorkKind
-	// Size is the least size in bytes of a complete answer.
+	// MinSizeBytes is the minimum size of a complete answer.
 	Size int
 }
 
@@ -33,8 +33,8 @@
 	Children []answerBody         `json:"children"`
 }
 
-// Check returns what is wrong with the body. An answer without a digest counts
-// as incomplete, since its caller cannot tell whether it is whole.
+// Check returns the fault of the answer. An answer without a digest counts as
+// incomplete, since its caller cannot verify that it is complete.
 func (c Checker) Check(digest string, body []byte) core.Fault {
 	if len(body) < c.Size || digest == "" {
 		return core.FaultIncomplete
@@ -52,6 +52,7 @@
 	return core.FaultNone
 }
 
+// belongsTo reports whether the answer and all answers nested in it carry the id.
 func (a answerBody) belongsTo(id core.RequestID) bool {
 	if a.ID != id {
 		return false
