--- a/standin/backendserver/backendserver.go
+++ b/standin/backendserver/backendserver.go
@@ -1,7 +1,7 @@
-// Package backendserver is a stand-in for a backend server of a service: it has
-// slots and a bounded queue, takes its time over each request, makes onward
-// calls through its node, records each run, and can be slowed down, drained or
-// crashed.
+// Package backendserver is a stand-in for a backend server of a service. It has
+// slots and a bounded queue, spends a configurable service time on each request,
+// makes onward calls through its node, records each run, and can be slowed down,
+// drained or crashed.
 //
 // # Usage
 //
@@ -33,17 +33,17 @@
 
 const (
 	inboxCapacity = 4096
-	// maxRecords bounds the records kept for GET /records; the oldest are dropped.
+	// maxRecords bounds the records for GET /records; the oldest are dropped.
 	maxRecords = 1 << 16
 	// coldFactor multiplies the service time during a cold start.
 	coldFactor = 5
-	// defaultTimeout holds for a request without a stated timeout.
+	// defaultTimeout applies to requests without a timeout header.
 	defaultTimeout = time.Minute
 	// CrashStatus is the exit status of a simulated crash.
 	CrashStatus = 3
 )
 
-// Target is a service and a kind of work that an onward call asks for.
+// Target is the service and the kind of work of an onward call.
 type Target struct {
 	Service cassiatally.Service
 	Kind    cassiatally.WorkKind
@@ -53,7 +53,9 @@
 // that each makes.
 type Work map[cassiatally.WorkKind][]Target
 
-// Lifecycle follows the runs in flight and carries out changes of state.
+// Lifecycle tracks the runs in flight and announces the state of the backend
+// server. Methods that return a bool return false when ctx ends first or the
+// lifecycle is closed.
 type Lifecycle interface {
 	Began(ctx context.Context) bool
 	Ended()
@@ -61,16 +63,16 @@
 	Ready(ctx context.Context) bool
 }
 
-// EndSink takes the records of ended runs.
+// RunEndSink accepts the records of ended runs.
 type EndSink interface {
 	Push(ctx context.Context, r core.Run) bool
 }
 
-// Server is a backend server.
+// Server is the HTTP server of one backend server.
 type Server struct {
 	Service cassiatally.Service
 	Address cassiatally.Address
-	// Incarnation tells the records of two processes apart.
+	// Incarnation makes record ids unique across restarts of the process.
 	Incarnation cassiatally.Incarnation
 	Work        Work
 	Queue       *slotqueue.Queue
@@ -78,17 +80,19 @@
 	ServiceTime time.Duration
 	ColdStart   time.Duration
 	AnswerSize  int
-	// CrashOn is text in a body that ends the process; empty for none.
+	// CrashOn is a text that simulates a crash when a request body contains it;
+	// empty for none.
 	CrashOn   string
 	Children  *childcaller.Caller
 	Lifecycle Lifecycle
-	// Starts keeps the start of each run before work begins; nil for none.
+	// RunStarts stores the start of each run before its work begins; nil for none.
 	Starts core.RunSink
-	// Ends takes the end of each run; nil for none.
+	// RunEnds accepts the end of each run; nil for none.
 	Ends  EndSink
 	Clock cassiatally.Clock
 	Exit  func(code int)
-	// Lie is told of a changed misleading announcement.
+	// SetFalseAnnouncement replaces announced values by false ones; nil ignores
+	// them.
 	Lie func(ctx context.Context, l Lie)
 
 	owner       *owner.Owner[state]
@@ -117,12 +121,12 @@
 	Shed     uint64 `json:"shed"`
 }
 
-// Start starts the duty that owns the records.
+// Start starts the duty that owns the state.
 func (s *Server) Start() {
 	s.owner = owner.New(&state{serviceTime: s.ServiceTime}, inboxCapacity)
 }
 
-// Close waits for the end of the duty that owns the records.
+// Close stops the duty that owns the state and waits for it.
 func (s *Server) Close() { s.owner.Close() }
 
 // Handler returns the HTTP interface.
@@ -140,8 +144,8 @@
 	if err != nil {
 		return refuse(c, http.StatusBadRequest, "bad_request", err.Error())
 	}
-	targets, known := s.Work[r.kind]
-	if !known {
+	targets, offered := s.Work[r.kind]
+	if !offered {
 		return refuse(c, http.StatusNotFound, "unknown_kind", fmt.Sprintf("%s offers no %s", s.Service, r.kind))
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), r.timeout)
@@ -158,8 +162,8 @@
 	return s.record(ctx, c, r, targets)
 }
 
-// record keeps the start of the run before any work, so that even a crash in
-// the work leaves a record.
+// execute records the start of the run before any work, so that a run leaves a
+// record even if the process crashes during the work.
 func (s *Server) record(ctx context.Context, c echo.Context, r request, targets []Target) error {
 	record, plan, err := s.begin(ctx, r)
 	if err != nil {
@@ -190,7 +194,7 @@
 	return core.RunFailed
 }
 
-// plan is what is drawn for a run when it begins.
+// runPlan holds the values that are drawn at random when a run starts.
 type plan struct {
 	busy time.Duration
 	fail bool
@@ -265,7 +269,8 @@
 	return answer.encode(s.AnswerSize)
 }
 
-// end keeps the end of a run, whatever became of its request.
+// recordEnd records the end of a run, even when the context of its request has
+// ended.
 func (s *Server) end(ctx context.Context, record core.Run) {
 	ctx = context.WithoutCancel(ctx)
 	record.End = s.Clock.Wall()
--- a/standin/backendserver/backendserver_test.go
+++ b/standin/backendserver/backendserver_test.go
@@ -31,7 +31,7 @@
 func (idle) Drain(context.Context) bool { return true }
 func (idle) Ready(context.Context) bool { return true }
 
-// sink keeps the states that are recorded, in their order.
+// sink stores the recorded states in order and returns err.
 type sink struct {
 	mu     sync.Mutex
 	states []core.RunState
@@ -111,7 +111,7 @@
 	}
 }
 
-// Guards against answers and records that do not match what became of a request.
+// Guards against answers and records that do not match the outcome of a request.
 func TestRequests(t *testing.T) {
 	const long = time.Hour
 	cases := []struct {
@@ -124,9 +124,9 @@
 		states  []core.RunState
 	}{
 		{"answered", func(*backendserver.Server) {}, "check", "", http.StatusOK, false, []core.RunState{core.RunStarted, core.RunFinished}},
-		{"kind it does not offer", func(*backendserver.Server) {}, "other", "", http.StatusNotFound, true, nil},
+		{"kind that is not offered", func(*backendserver.Server) {}, "other", "", http.StatusNotFound, true, nil},
 		{"malformed timeout", func(*backendserver.Server) {}, "check", "soon", http.StatusBadRequest, true, nil},
-		{"time over", func(s *backendserver.Server) { s.ServiceTime = long }, "check", "20ms", http.StatusGatewayTimeout, false, []core.RunState{core.RunStarted, core.RunAborted}},
+		{"timeout expired", func(s *backendserver.Server) { s.ServiceTime = long }, "check", "20ms", http.StatusGatewayTimeout, false, []core.RunState{core.RunStarted, core.RunAborted}},
 		{"crash after the record", func(s *backendserver.Server) {
 			s.CrashOn = "r1"
 			s.Exit = func(int) { panic(http.ErrAbortHandler) }
@@ -150,19 +150,21 @@
 	}
 }
 
-// Guards against work that starts although its record is not kept.
+// Guards against work that starts although the recorder has not accepted its
+// record.
 func TestNoWorkWithoutRecord(t *testing.T) {
 	is := is.New(t)
-	records := &sink{err: errors.New("recorder away")}
+	records := &sink{err: errors.New("recorder unreachable")}
 	url, _ := serve(t, func(s *backendserver.Server) { s.Starts, s.ServiceTime = records, time.Hour })
 	a, err := call(t.Context(), url, "check", `{"id":"r1"}`, "")
 	is.NoErr(err)
 	is.Equal(a.status, http.StatusServiceUnavailable)
-	is.Equal(a.header.Get(core.HeaderOutcome), "") // the record may have been kept
+	is.Equal(a.header.Get(core.HeaderOutcome), "") // the record may have been stored
 }
 
 // Guards against a full backend server that queues without bound or records a
-// request that it refuses, and against a slot that a lost caller keeps.
+// refused request, and against a slot that stays occupied after its caller has
+// disconnected.
 func TestFullAndCancelled(t *testing.T) {
 	is := is.New(t)
 	records := &sink{}
@@ -188,8 +190,8 @@
 	is.Equal(records.seen()[1], core.RunAborted)
 }
 
-// Guards against onward calls that a node cannot match to their parent, and
-// against an answer that its caller cannot verify.
+// Guards against onward calls that a node cannot match to their parent run, and
+// against an answer whose digest, size or id its caller cannot verify.
 func TestOnwardCalls(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
@@ -221,7 +223,7 @@
 	is.Equal(check.Check(answerchecker.Digest(nil), a.body), core.FaultCorrupted)
 }
 
-// Guards against a cold start that does not slow requests down.
+// Guards against a cold start that does not multiply the service time.
 func TestColdStart(t *testing.T) {
 	is := is.New(t)
 	const serviceTime = 20 * time.Millisecond
@@ -233,8 +235,8 @@
 	is.True(time.Since(begin) >= 5*serviceTime)
 }
 
-// Guards against an application whose naive retries are not sent, or are sent as
-// other calls than the one that failed.
+// Guards against retries of onward calls that are not sent, or that are sent
+// under another number than the call that failed.
 func TestRetriedOnwardCall(t *testing.T) {
 	cases := []struct {
 		name    string
--- a/standin/backendserver/control.go
+++ b/standin/backendserver/control.go
@@ -12,8 +12,8 @@
 	"github.com/cassiatally/cassiatally/standin/httpserver"
 )
 
-// Lie is a misleading announcement: the values that are not zero replace the
-// true ones.
+// FalseAnnouncement replaces the actual values in announcements. Fields that are
+// zero keep the actual value.
 type Lie struct {
 	Slots       cassiatally.Concurrency `json:"slots"`
 	Connections cassiatally.Concurrency `json:"connections"`
@@ -41,7 +41,8 @@
 	Runs []core.Run `json:"runs"`
 }
 
-// ConnState counts connections; it is for the HTTP server.
+// ConnState counts open connections; it is the ConnState callback of the HTTP
+// server.
 func (s *Server) ConnState(_ net.Conn, cs http.ConnState) {
 	switch cs {
 	case http.StateNew:
--- a/standin/backendserver/wire.go
+++ b/standin/backendserver/wire.go
@@ -16,7 +16,7 @@
 	"github.com/cassiatally/cassiatally/standin/core"
 )
 
-// request is a request as the node hands it over.
+// request is a decoded request of the node.
 type request struct {
 	kind    cassiatally.WorkKind
 	run     core.RunToken
@@ -72,7 +72,7 @@
 	}
 	var fields requestBody
 	if json.Unmarshal(body, &fields) == nil {
-		// A body of another form is served as well; its record has no id.
+		// Bodies of other formats are accepted too; their records have no id.
 		r.id = fields.ID
 	}
 	return r, nil
@@ -85,7 +85,7 @@
 	}
 }
 
-// encode returns the answer, padded to at least size bytes.
+// encode returns the answer as JSON, padded to at least size bytes.
 func (a answerBody) encode(size int) ([]byte, error) {
 	body, err := json.Marshal(a)
 	if err != nil {
@@ -107,7 +107,7 @@
 	return c.Blob(http.StatusOK, echo.MIMEApplicationJSON, body)
 }
 
-// refuse answers a request of which no work was done.
+// refuse answers a request that was not run, and says so in the outcome header.
 func refuse(c echo.Context, status int, kind, detail string) error {
 	c.Response().Header().Set(core.HeaderOutcome, cassiatally.OutcomeNotRun.String())
 	return problem(c, status, kind, detail)
