--- a/standin/announcer/announcer.go
+++ b/standin/announcer/announcer.go
@@ -1,5 +1,5 @@
-// Package announcer tells a node about the backend server on its host: once a
-// second, at once when something changes, and a last time when it leaves.
+// Package announcer announces the backend server of a host to its node: once a
+// second, immediately after a change, and with a withdrawal when it leaves.
 //
 // # Usage
 //
@@ -26,16 +26,16 @@
 )
 
 const (
-	// interval is a third of the time after which an announcement lapses.
+	// interval is a third of the time after which the node expires an announcement.
 	interval = time.Second
-	// requestTimeout is shorter than interval, so that a silent node does not
-	// delay the next announcement.
+	// requestTimeout is shorter than interval, so that a node that does not respond
+	// does not delay the next announcement.
 	requestTimeout = 800 * time.Millisecond
 	inboxCapacity  = 64
 	announcePath   = "/v1/announce"
 )
 
-// Announcement is what a backend server tells about itself.
+// Announcement describes a backend server to its node.
 type Announcement struct {
 	Service     cassiatally.Service
 	Address     cassiatally.Address
@@ -54,7 +54,7 @@
 
 // Announcer is the duty that announces one backend server.
 type Announcer struct {
-	// Node is the URL of the node's address for backend servers.
+	// Node is the base URL of the node's listener for backend servers.
 	Node   string
 	Client *http.Client
 	Logger *log.Logger
@@ -70,7 +70,7 @@
 	done         chan error
 }
 
-// Start starts the duty, which ends with Close only.
+// Start starts the duty, which runs until Close even when ctx ends.
 func (a *Announcer) Start(ctx context.Context) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	a.cancel = cancel
@@ -78,12 +78,13 @@
 	a.wg.Go(func() { a.run(ctx) })
 }
 
-// Set replaces the announcement and waits until it was sent once.
+// Set replaces the announcement, sends it once and returns the error of that
+// attempt. Later attempts follow at every interval.
 func (a *Announcer) Set(ctx context.Context, v Announcement) error {
 	return a.push(ctx, update{announcement: v, done: make(chan error, 1)})
 }
 
-// Withdraw ends the announcements and tells the node so.
+// Withdraw stops the announcements and sends a withdrawal to the node.
 func (a *Announcer) Withdraw(ctx context.Context) error {
 	return a.push(ctx, update{withdraw: true, done: make(chan error, 1)})
 }
