--- a/standin/childcaller/childcaller.go
+++ b/standin/childcaller/childcaller.go
@@ -22,7 +22,8 @@
 	"github.com/cassiatally/cassiatally/standin/core"
 )
 
-// Call is one onward call.
+// Call is one onward call. Number counts the onward calls of the run from 1; a
+// retry keeps the number.
 type Call struct {
 	Run     core.RunToken
 	Number  int
@@ -38,15 +39,15 @@
 
 // Caller sends onward calls.
 type Caller struct {
-	// Node is the URL of the node's address for backend servers.
+	// Node is the base URL of the node's listener for backend servers.
 	Node   string
 	Client *http.Client
-	// Retries is the number of times that a failed call is sent again.
+	// Retries is the maximum number of retries of a failed call.
 	Retries int
 }
 
-// Call sends the call and returns the answer's body. The context's deadline
-// goes along as remaining time.
+// Call sends the call, retries it if it fails, and returns the body of the answer.
+// The time until the deadline of ctx is sent as the timeout.
 func (c *Caller) Call(ctx context.Context, call Call) (json.RawMessage, error) {
 	var answer json.RawMessage
 	var err error
