--- a/standin/drainer/drainer.go
+++ b/standin/drainer/drainer.go
@@ -1,12 +1,12 @@
-// Package drainer knows how many runs a backend server has in flight, announces
-// its state, and withdraws it from its node once a drain has ended.
+// Package drainer counts the runs that a backend server has in flight, announces
+// its state, and withdraws it from its node once it is drained.
 //
 // # Usage
 //
 //	d := &drainer.Drainer{Announce: announce, Withdraw: withdraw}
 //	d.Start(ctx)
-//	d.Began(ctx)
-//	d.Ended(ctx)
+//	d.RunStarted(ctx)
+//	d.RunEnded()
 //	d.Drain(ctx)
 //	<-d.Drained()
 //	d.Close()
@@ -23,8 +23,9 @@
 
 const inboxCapacity = 4096
 
-// quiet is the time without a run after which a drain has ended. A node that
-// still has calls in its queue hands the next one over well within it.
+// drainIdleTime is the time without any event after which a drain with no run in
+// flight is complete. A node that still has queued calls sends the next one well
+// within it.
 const quiet = time.Second
 
 type event uint8
@@ -36,11 +37,12 @@
 	eventReady
 )
 
-// Drainer is the duty that follows the runs in flight.
+// Drainer is the duty that counts the runs in flight.
 type Drainer struct {
-	// Announce tells the node the state; it is tried again by the announcer.
+	// Announce sends the state to the node. It does not return an error, since the
+	// announcer sends the state again at every interval.
 	Announce func(ctx context.Context, s cassiatally.EndpointState)
-	// Withdraw takes the backend server off the node.
+	// Withdraw removes the backend server from the node.
 	Withdraw func(ctx context.Context)
 
 	inbox   *ring.Ring[event]
@@ -49,8 +51,8 @@
 	wg      sync.WaitGroup
 }
 
-// Start announces the backend server as ready and starts the duty, which ends
-// with Close only.
+// Start starts the duty, which announces the backend server as ready and runs
+// until Close even when ctx ends.
 func (d *Drainer) Start(ctx context.Context) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	d.cancel = cancel
@@ -59,19 +61,23 @@
 	d.wg.Go(func() { d.run(ctx) })
 }
 
-// Began counts a run in.
+// RunStarted counts a run as in flight. It returns false when ctx ends first or
+// the drainer is closed.
 func (d *Drainer) Began(ctx context.Context) bool { return d.inbox.Push(ctx, eventBegan) }
 
-// Ended counts a run out. It waits for room, whatever became of the request.
+// RunEnded removes a run from the count. It blocks while the ring is full, even
+// when the context of the request has ended, since a lost end would keep the
+// drain from completing.
 func (d *Drainer) Ended() { d.inbox.Push(context.Background(), eventEnded) }
 
-// Drain announces the state draining and withdraws once no run is in flight.
+// Drain announces the state draining, and withdraws the backend server once no
+// run is in flight.
 func (d *Drainer) Drain(ctx context.Context) bool { return d.inbox.Push(ctx, eventDrain) }
 
-// Ready announces the state ready and ends a drain that has not yet ended.
+// MarkReady announces the state ready and cancels a drain in progress.
 func (d *Drainer) Ready(ctx context.Context) bool { return d.inbox.Push(ctx, eventReady) }
 
-// Drained returns a channel that is closed when the first drain has ended.
+// Drained returns a channel that is closed when the first drain is complete.
 func (d *Drainer) Drained() <-chan struct{} { return d.drained }
 
 // Close ends the duty and waits for it.
--- a/standin/drainer/drainer_test.go
+++ b/standin/drainer/drainer_test.go
@@ -17,7 +17,7 @@
 	"github.com/cassiatally/cassiatally/standin/drainer"
 )
 
-// fakeNode notes the announcements and refuses the first one.
+// fakeNode records the announcements and refuses the first one.
 type fakeNode struct {
 	mu   sync.Mutex
 	seen []string
@@ -53,8 +53,8 @@
 	}
 }
 
-// Guards against a backend server that is announced only once, withdrawn while a
-// run is in flight, or announced again after it has been withdrawn.
+// Guards against a backend server that is not announced again after a refusal, is
+// withdrawn while a run is in flight, or is announced again after its withdrawal.
 func TestAnnounceDrainWithdraw(t *testing.T) {
 	is := is.New(t)
 	node := &fakeNode{}
@@ -73,7 +73,7 @@
 	defer d.Close()
 	const ready = `PUT {"service":"avail-svc","address":"127.0.0.1:1","slots":2,"connections":3,"state":"ready"}`
 	const draining = `PUT {"service":"avail-svc","address":"127.0.0.1:1","slots":2,"connections":3,"state":"draining"}`
-	waitFor(t, func() bool { n, last := node.last(); return n >= 2 && last == ready }) // again after the refusal
+	waitFor(t, func() bool { n, last := node.last(); return n >= 2 && last == ready }) // announced again after the refusal
 	is.True(d.Began(t.Context()))
 	is.True(d.Drain(t.Context()))
 	waitFor(t, func() bool { _, last := node.last(); return last == draining })
