--- a/standin/slotqueue/slotqueue.go
+++ b/standin/slotqueue/slotqueue.go
@@ -1,13 +1,13 @@
-// Package slotqueue bounds the work that runs at one time and the work that
-// waits for it.
+// Package slotqueue limits the number of requests that run concurrently and of
+// those that wait for a slot.
 //
 // # Usage
 //
 //	q := slotqueue.New(15, 30)
-//	if err := q.Enter(ctx); err != nil {
+//	if err := q.Acquire(ctx); err != nil {
 //		return err
 //	}
-//	defer q.Leave()
+//	defer q.Release()
 package slotqueue
 
 import (
@@ -18,16 +18,18 @@
 	"github.com/cassiatally/cassiatally/cassiatally"
 )
 
-// ErrFull tells that all slots are taken and that the queue is full.
+// ErrFull is returned when all slots are taken and the queue is full.
 var ErrFull = errors.New("all slots are taken and the queue is full")
 
-// Queue is a set of slots with a bounded queue before them.
+// Queue is a concurrency limit with a bounded queue.
 type Queue struct {
+	// places holds a token for each running or waiting request.
 	places chan struct{}
-	slots  chan struct{}
+	// slots holds a token for each running request.
+	slots chan struct{}
 }
 
-// New returns a queue with the slots and room for waiting requests above them.
+// New returns a queue for the given numbers of running and of waiting requests.
 func New(slots cassiatally.Concurrency, waiting int) *Queue {
 	return &Queue{
 		places: make(chan struct{}, int(slots)+waiting),
@@ -35,8 +37,8 @@
 	}
 }
 
-// Enter takes a slot. It waits in the queue until the context ends, and returns
-// ErrFull at once when the queue has no room.
+// Acquire takes a slot. It waits in the queue until ctx ends, and returns ErrFull
+// immediately when the queue is full.
 func (q *Queue) Enter(ctx context.Context) error {
 	select {
 	case q.places <- struct{}{}:
@@ -52,7 +54,7 @@
 	}
 }
 
-// Leave frees the slot that Enter took.
+// Release frees a slot that Acquire took.
 func (q *Queue) Leave() {
 	<-q.slots
 	<-q.places
@@ -61,5 +63,5 @@
 // Running returns the number of slots that are taken.
 func (q *Queue) Running() cassiatally.Concurrency { return cassiatally.Concurrency(len(q.slots)) }
 
-// Pending returns the number of requests that run or wait.
+// Pending returns the number of running and waiting requests.
 func (q *Queue) Pending() cassiatally.Concurrency { return cassiatally.Concurrency(len(q.places)) }
--- a/standin/slotqueue/slotqueue_test.go
+++ b/standin/slotqueue/slotqueue_test.go
@@ -11,8 +11,8 @@
 	"github.com/cassiatally/cassiatally/standin/slotqueue"
 )
 
-// Guards against more work at one time than there are slots, a queue without a
-// bound, and a place that a cancelled wait keeps.
+// Guards against more running requests than slots, an unbounded queue, and a place
+// that stays occupied after a cancelled wait.
 func TestSlotsAndQueue(t *testing.T) {
 	is := is.New(t)
 	q := slotqueue.New(1, 1)
