--- a/standin/gate/gate.go
+++ b/standin/gate/gate.go
@@ -1,9 +1,9 @@
-// Package gate holds data back until it is opened.
+// Package gate lets goroutines wait until a condition is switched on.
 //
 // # Usage
 //
 //	g := gate.New(false)
-//	go g.Open(true)
+//	go g.SetOpen(true)
 //	err := g.Wait(ctx)
 package gate
 
@@ -14,21 +14,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Gate is open or closed. Waiting is on a channel.
+// Gate is open or closed and can change between the two. It is safe for concurrent
+// use.
 type Gate struct {
 	mu     sync.Mutex
 	open   bool
 	opened chan struct{}
 }
 
-// New returns a gate.
+// New returns a gate in the given state.
 func New(open bool) *Gate {
 	g := &Gate{opened: make(chan struct{})}
 	g.Open(open)
 	return g
 }
 
-// Open opens or closes the gate.
+// SetOpen opens or closes the gate.
 func (g *Gate) Open(open bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -43,7 +44,7 @@
 	g.opened = make(chan struct{})
 }
 
-// Wait waits until the gate is open.
+// Wait blocks until the gate is open or ctx ends.
 func (g *Gate) Wait(ctx context.Context) error {
 	g.mu.Lock()
 	opened := g.opened
