--- a/standin/faultserver/faultserver.go
+++ b/standin/faultserver/faultserver.go
@@ -1,11 +1,11 @@
-// Package faultserver controls fault proxies over HTTP: routes, which pass TCP on,
-// and links, which pass the frames between nodes on.
+// Package faultserver controls fault proxies over HTTP: routes, which forward TCP
+// connections, and links, which forward the frames between nodes.
 //
 // # Usage
 //
 //	s := faultserver.New()
 //	defer s.Close(ctx)
-//	address, err := s.Add(ctx, "a-to-b", "127.0.0.1:0", "127.0.0.1:7001")
+//	address, err := s.AddRoute(ctx, "a-to-b", "127.0.0.1:0", "127.0.0.1:7001")
 //	web := &httpserver.Server{Listen: "127.0.0.1:0", Handler: s.Handler()}
 package faultserver
 
@@ -29,16 +29,16 @@
 const inboxCapacity = 256
 
 var (
-	// ErrNameTaken tells that there is a route of the name.
+	// ErrNameTaken is returned when a route or link of the name exists.
 	ErrNameTaken = errors.New("there is a route of this name")
-	// ErrNoRoute tells that there is no route of the name.
+	// ErrNoRoute is returned when no route or link of the name exists.
 	ErrNoRoute = errors.New("there is no route of this name")
 )
 
-// RouteName names a route.
+// RouteName names a route or a link.
 type RouteName string
 
-// Server controls the proxies of one process.
+// Server owns and controls the proxies of one process.
 type Server struct {
 	owner *owner.Owner[routes]
 }
@@ -59,7 +59,7 @@
 	Mode         faultproxy.Mode `json:"mode"`
 	Delay        *string         `json:"delay"`
 	ExistingOnly bool            `json:"existing_only"`
-	// CutDown, Matching and Target are those of faultproxy.Change.
+	// See faultproxy.Change for the following fields.
 	CutDown  *int64              `json:"cut_down"`
 	Matching string              `json:"matching"`
 	Target   cassiatally.Address `json:"target"`
@@ -82,7 +82,7 @@
 	Routes []routeBody `json:"routes"`
 }
 
-// New returns a server without routes.
+// New returns a server without routes and links.
 func New() *Server {
 	return &Server{owner: owner.New(&routes{
 		proxies: make(map[RouteName]*faultproxy.Proxy),
@@ -90,26 +90,27 @@
 	}, inboxCapacity)}
 }
 
-// Close works after the end of ctx. It closes all routes and waits for the end of their duties.
+// Close closes all routes and links and waits for their duties. It also works after
+// ctx has ended.
 func (s *Server) Close(ctx context.Context) {
-	var proxies []interface{ Close() }
+	var closers []interface{ Close() }
 	_ = s.owner.Do(context.WithoutCancel(ctx), func(r *routes) {
 		for name, p := range r.proxies {
-			proxies = append(proxies, p)
+			closers = append(closers, p)
 			delete(r.proxies, name)
 		}
 		for name, p := range r.links {
-			proxies = append(proxies, p)
+			closers = append(closers, p)
 			delete(r.links, name)
 		}
 	})
 	s.owner.Close()
-	for _, p := range proxies {
-		p.Close()
+	for _, c := range closers {
+		c.Close()
 	}
 }
 
-// Add adds a route and returns the address on which it accepts.
+// AddRoute starts a proxy and returns the address on which it listens.
 func (s *Server) Add(ctx context.Context, name RouteName, listen string, target cassiatally.Address) (cassiatally.Address, error) {
 	p := &faultproxy.Proxy{Listen: listen, Target: target}
 	if err := p.Start(ctx); err != nil {
@@ -164,17 +165,17 @@
 
 func (s *Server) handleList(c echo.Context) error {
 	ctx := c.Request().Context()
-	named := make(map[RouteName]*faultproxy.Proxy)
+	proxies := make(map[RouteName]*faultproxy.Proxy)
 	err := s.owner.Do(ctx, func(r *routes) {
 		for name, p := range r.proxies {
-			named[name] = p
+			proxies[name] = p
 		}
 	})
 	if err != nil {
 		return answerError(err)
 	}
 	body := routesBody{Routes: []routeBody{}}
-	for name, p := range named {
+	for name, p := range proxies {
 		route, err := describe(ctx, name, p)
 		if err != nil {
 			return answerError(err)
--- a/standin/faultserver/links.go
+++ b/standin/faultserver/links.go
@@ -11,7 +11,8 @@
 	"github.com/cassiatally/cassiatally/standin/httpserver"
 )
 
-// linkChangeBody has the fields of frameproxy.Change.
+// linkChangeBody has the fields of frameproxy.Change in the same order, so that one
+// converts to the other.
 type linkChangeBody struct {
 	Answers   frameproxy.Mode      `json:"answers"`
 	HoldSheet bool                 `json:"hold_sheet"`
