--- a/standin/faultproxy/faultproxy.go
+++ b/standin/faultproxy/faultproxy.go
@@ -1,9 +1,9 @@
-// Package faultproxy passes TCP connections on to a target and brings about
-// faults of the network between the two ends.
+// Package faultproxy forwards TCP connections to a target and injects network
+// faults between the two ends.
 //
-// Up is the direction from the end that connects to the target, down the other
-// one. Data that a fault holds back stays in order and goes on once the fault
-// ends, as TCP does after a partition; that includes the end of a connection.
+// Up is the direction from the connecting end to the target, down the opposite
+// one. Data that a fault holds back stays in order and is forwarded once the fault
+// ends, as TCP does after a partition; this includes the end of a connection.
 //
 // # Usage
 //
@@ -34,25 +34,25 @@
 	dialTimeout   = 5 * time.Second
 )
 
-// Mode is a fault of the network.
+// Mode is a network fault.
 type Mode string
 
 const (
-	// ModePass passes data in both directions.
+	// ModePass forwards data in both directions.
 	ModePass Mode = "pass"
 	// ModeCut closes all connections and refuses new ones.
 	ModeCut Mode = "cut"
 	// ModeSilent holds data back in both directions.
 	ModeSilent Mode = "silent"
-	// ModeOneWayUp passes data to the target only.
+	// ModeOneWayUp forwards data to the target only, and holds the rest back.
 	ModeOneWayUp Mode = "one_way_up"
-	// ModeOneWayDown passes data from the target only.
+	// ModeOneWayDown forwards data from the target only, and holds the rest back.
 	ModeOneWayDown Mode = "one_way_down"
-	// ModeRefuse refuses new connections and leaves the open ones alone.
+	// ModeRefuse refuses new connections and does not affect open ones.
 	ModeRefuse Mode = "refuse"
 )
 
-// Valid reports whether the mode is known.
+// Valid reports whether the mode is defined.
 func (m Mode) Valid() bool {
 	switch m {
 	case ModePass, ModeCut, ModeSilent, ModeOneWayUp, ModeOneWayDown, ModeRefuse:
@@ -65,22 +65,23 @@
 func (m Mode) passesDown() bool { return m == ModePass || m == ModeRefuse || m == ModeOneWayDown }
 func (m Mode) refuses() bool    { return m == ModeCut || m == ModeRefuse }
 
-// Change is a change of the faults.
+// Change describes a change of the faults.
 type Change struct {
-	// Mode is the new mode; empty keeps the one in force.
+	// Mode is the new mode; empty keeps the current one.
 	Mode Mode
-	// Delay is the new delay of each direction; nil keeps the one in force.
+	// Delay is the new delay of each direction; nil keeps the current one.
 	Delay *time.Duration
-	// Matching applies the mode to the connections whose first data contains this
-	// text, open and new. It stays until another change of the same text.
+	// Matching limits the mode to connections, open and new, whose first data
+	// contains this text. It applies until another change with the same text.
 	Matching string
-	// Target is where new connections go from now on; empty keeps the target.
+	// Target is the target of new connections; empty keeps the current one.
 	Target cassiatally.Address
-	// CutDown closes each connection that is opened from now on once that many
-	// bytes have come from the target; zero lifts it. Nil keeps what is in force.
+	// CutDownAfterBytes closes each new connection once that many bytes have been
+	// forwarded from the target; zero removes the limit, nil keeps the current one.
 	CutDown *int64
-	// ExistingOnly applies the mode to the connections that are open now, for
-	// good, and leaves the mode of new connections as it is.
+	// ExistingOnly applies the mode to the currently open connections permanently,
+	// and leaves the mode of new connections unchanged. Only ModeCut still affects
+	// these connections later.
 	ExistingOnly bool
 }
 
@@ -96,10 +97,10 @@
 	BytesDown   uint64
 }
 
-// Proxy passes the connections of one address on to one target.
+// Proxy listens on one address and forwards its connections to one target.
 type Proxy struct {
 	Listen string
-	// Target is where connections go at first.
+	// Target is the initial target.
 	Target cassiatally.Address
 
 	listener  net.Listener
@@ -123,8 +124,8 @@
 	refused  uint64
 }
 
-// modeOf returns the mode of a connection: that of a text in its first data, or
-// else the one of the proxy.
+// modeOf returns the mode for a text that the first data of the connection
+// contains, or else the mode of the proxy.
 func (s *state) modeOf(l *link) Mode {
 	for text, mode := range s.matching {
 		if bytes.Contains(l.head, []byte(text)) {
@@ -134,7 +135,7 @@
 	return s.mode
 }
 
-// Start listens and accepts until Close.
+// Start listens and accepts connections until Close.
 func (p *Proxy) Start(ctx context.Context) error {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", p.Listen)
@@ -150,12 +151,12 @@
 	return nil
 }
 
-// Address returns the address on which the proxy accepts.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() cassiatally.Address {
 	return cassiatally.Address(p.listener.Addr().String())
 }
 
-// Close closes all connections and waits for the end of all duties.
+// Close closes all connections and waits for all duties.
 func (p *Proxy) Close() {
 	p.cancel()
 	p.listener.Close()
@@ -217,13 +218,13 @@
 func (p *Proxy) serve(conn net.Conn) {
 	l := newLink(p.ctx, conn)
 	defer l.close()
-	to, ok := p.admit(l)
+	address, ok := p.admit(l)
 	if !ok {
 		return
 	}
 	defer p.forget(l)
 	d := net.Dialer{Timeout: dialTimeout}
-	target, err := d.DialContext(l.ctx, "tcp", string(to))
+	target, err := d.DialContext(l.ctx, "tcp", string(address))
 	if err != nil {
 		reset(conn)
 		return
@@ -231,8 +232,9 @@
 	l.run(target, p)
 }
 
-// admit has the duty take the connection in, so that a later change of the mode
-// reaches it.
+// register adds the connection to the state, so that later changes of the mode
+// apply to it, and returns the target. It returns false when the connection is
+// refused.
 func (p *Proxy) admit(l *link) (cassiatally.Address, bool) {
 	var refused bool
 	var target cassiatally.Address
@@ -254,7 +256,8 @@
 	return target, true
 }
 
-// identify keeps the first data of a connection and applies the mode for it.
+// recordFirstData stores the first data of a connection and applies the mode that
+// matches it.
 func (p *Proxy) identify(l *link, head []byte) {
 	_ = p.owner.Do(p.ctx, func(s *state) {
 		l.head = head
@@ -263,11 +266,12 @@
 }
 
 func (p *Proxy) forget(l *link) {
-	// The owner outlives all links, so this always takes effect.
+	// The owner outlives all links, so the operation is always applied.
 	_ = p.owner.Do(context.WithoutCancel(p.ctx), func(s *state) { delete(s.links, l) })
 }
 
-// reset closes a connection so that the other end sees a refusal, not an end.
+// reset closes a connection with a TCP reset, so that the other end sees an error
+// instead of the end of the stream.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/standin/faultproxy/faultproxy_test.go
+++ b/standin/faultproxy/faultproxy_test.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// held is long enough for data to pass on loopback if nothing holds it back.
+	// arrivalWait is long enough for data to arrive over loopback unless it is held back.
 	held     = 100 * time.Millisecond
 	generous = 30 * time.Second
 )
 
-// target accepts connections and hands them to the test.
+// startTarget listens and returns the connections that it accepts.
 func target(t *testing.T) (cassiatally.Address, <-chan net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -64,7 +64,7 @@
 	return near, far
 }
 
-// passes sends a byte and reports whether it arrives within the limit.
+// passes sends one byte and reports whether it arrives within the limit.
 func passes(t *testing.T, from, to net.Conn, limit time.Duration) bool {
 	t.Helper()
 	if _, err := from.Write([]byte{1}); err != nil {
@@ -94,8 +94,8 @@
 	return held
 }
 
-// Guards against a mode that lets data through which it has to hold back, or the
-// other way round, on open and on new connections.
+// Guards against a mode that forwards data that it has to hold back, or holds back
+// data that it has to forward, on open and on new connections.
 func TestModes(t *testing.T) {
 	cases := []struct {
 		mode     faultproxy.Mode
@@ -139,8 +139,8 @@
 	}
 }
 
-// Guards against data that is lost or reordered by a fault that ends, and against
-// an end of connection that overtakes it.
+// Guards against data that is lost or reordered when a fault ends, and against an
+// end of the connection that overtakes held data.
 func TestHeldDataFollows(t *testing.T) {
 	is := is.New(t)
 	p, conns := startProxy(t)
@@ -157,10 +157,11 @@
 	got, err := io.ReadAll(far)
 	is.NoErr(err)
 	is.Equal(string(got), "held back")
-	is.True(passes(t, far, near, generous)) // the other direction is still open
+	is.True(passes(t, far, near, generous)) // the opposite direction is still open
 }
 
-// Guards against a silent connection that comes back when the route passes again.
+// Guards against a permanently silenced connection that works again when the mode
+// of the proxy changes to pass.
 func TestSilentForGood(t *testing.T) {
 	is := is.New(t)
 	p, conns := startProxy(t)
@@ -170,7 +171,7 @@
 	is.True(!passes(t, near, far, held))
 }
 
-// Guards against a delay that is not applied in each direction.
+// Guards against a delay that is applied to one direction only.
 func TestDelay(t *testing.T) {
 	is := is.New(t)
 	p, conns := startProxy(t)
@@ -184,7 +185,7 @@
 	}
 }
 
-// Guards against duties that a silent connection keeps alive after Close.
+// Guards against a Close that does not end the duties of a silenced connection.
 func TestCloseWhileSilent(t *testing.T) {
 	is := is.New(t)
 	p, conns := startProxy(t)
@@ -198,8 +199,8 @@
 	is.True(err != nil)
 }
 
-// Guards against a fault between two data centres that hits other connections,
-// or that new connections escape.
+// Guards against a fault for one data centre that affects connections of another
+// one, or that does not apply to new connections.
 func TestMatching(t *testing.T) {
 	is := is.New(t)
 	p, conns := startProxy(t)
@@ -228,7 +229,7 @@
 	is.NoErr(read(south, len("from south")))
 }
 
-// Guards against new connections that go to the old target.
+// Guards against new connections that are forwarded to the previous target.
 func TestNewTarget(t *testing.T) {
 	is := is.New(t)
 	p, _ := startProxy(t)
@@ -238,7 +239,7 @@
 	is.True(passes(t, near, far, generous))
 }
 
-// Guards against an answer that passes whole when it was to be cut.
+// Guards against an answer that is forwarded in full despite a byte limit.
 func TestCutDown(t *testing.T) {
 	is := is.New(t)
 	p, conns := startProxy(t)
--- a/standin/faultproxy/link.go
+++ b/standin/faultproxy/link.go
@@ -16,12 +16,12 @@
 
 const (
 	chunkSize = 32 << 10
-	// ringCapacity bounds the data in transit to 2 MiB a direction. A reader that
-	// finds the ring full stops reading, as the kernel does.
+	// ringCapacity bounds the data in transit to 2 MiB per direction. A reader that
+	// finds the ring full stops reading, so that the sender sees TCP flow control.
 	ringCapacity = 64
 )
 
-// errCut ends a connection that was to be cut after a number of bytes.
+// errCut ends a connection that has reached its byte limit.
 var errCut = errors.New("the connection was cut as asked for")
 
 // link is one connection through the proxy.
@@ -31,9 +31,10 @@
 	near   net.Conn
 	up     *gate.Gate
 	down   *gate.Gate
-	// head is the first data towards the target; only the proxy's duty uses it.
+	// firstData is the first data towards the target; only the proxy's duty uses it.
 	head []byte
-	// frozen is set once a fault holds for good; only the proxy's duty uses it.
+	// permanent is set once a fault applies permanently; only the proxy's duty uses
+	// it.
 	frozen bool
 }
 
@@ -44,15 +45,16 @@
 	err  error
 }
 
-// pipe is one direction of a link.
+// pipe forwards one direction of a link.
 type pipe struct {
 	from, to net.Conn
 	gate     *gate.Gate
 	bytes    *atomic.Uint64
 	ring     *ring.Ring[chunk]
-	// left, if positive, is how many bytes may still pass before the link is cut.
+	// bytesUntilCut, if positive, is the number of bytes that are still forwarded
+	// before the link is cut.
 	left int64
-	// first, if set, is called with the first data before it is passed on.
+	// onFirstData, if set, is called with the first data before it is forwarded.
 	first func(data []byte)
 }
 
@@ -61,16 +63,17 @@
 	return &link{ctx: ctx, cancel: cancel, near: near, up: gate.New(false), down: gate.New(false)}
 }
 
-func (l *link) apply(m Mode, forGood bool) {
+func (l *link) apply(m Mode, permanent bool) {
 	switch {
 	case m == ModeCut:
-		// Data that is already in a ring must not overtake the cut.
+		// Closes the gates first, since data that is still in a ring must not be
+		// delivered after the cut.
 		l.up.Open(false)
 		l.down.Open(false)
 		l.cancel()
 	case l.frozen:
 	default:
-		l.frozen = forGood
+		l.frozen = permanent
 		l.up.Open(m.passesUp())
 		l.down.Open(m.passesDown())
 	}
@@ -81,7 +84,7 @@
 	_ = l.near.Close()
 }
 
-// run passes data until both directions have ended or the link is cancelled.
+// run forwards data until both directions have ended or the link is cancelled.
 func (l *link) run(far net.Conn, p *Proxy) {
 	stop := context.AfterFunc(l.ctx, func() {
 		reset(l.near)
@@ -105,7 +108,7 @@
 	wg.Wait()
 }
 
-// read passes data and the end of the connection into the ring.
+// read pushes data and the end of the connection into the ring.
 func (d *pipe) read(ctx context.Context, delay *atomic.Int64) {
 	buf := make([]byte, chunkSize)
 	for {
@@ -121,8 +124,8 @@
 	}
 }
 
-// write passes data on when it is due and the gate is open. It returns an error
-// when the link has to be closed as a whole.
+// write forwards data when it is due and the gate is open. It returns an error when
+// both directions of the link have to be closed.
 func (d *pipe) write(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -153,7 +156,7 @@
 			c.data = c.data[:d.left]
 		}
 		if _, err := d.to.Write(c.data); err != nil {
-			return errors.Wrap(err, "passing data on")
+			return errors.Wrap(err, "forwarding data")
 		}
 		d.bytes.Add(uint64(len(c.data)))
 		d.left -= int64(len(c.data))
