--- a/standin/frameproxy/frameproxy.go
+++ b/standin/frameproxy/frameproxy.go
@@ -1,8 +1,8 @@
-// Package frameproxy passes links between nodes on, frame by frame. It mixes up
-// the answers on them and holds back a sheet. Frames of other types pass unchanged
-// and in order.
+// Package frameproxy forwards links between nodes frame by frame. It can duplicate,
+// delay and swap the answers on them and hold back a sheet. Frames of other types
+// are forwarded unchanged and in order.
 //
-// Up is the direction from the end that connects to the target, down the other
+// Up is the direction from the connecting end to the target, down the opposite
 // one.
 //
 // # Usage
@@ -34,29 +34,30 @@
 	inboxCapacity = 256
 	dialTimeout   = 5 * time.Second
 	linkPath      = "/v1/link"
-	// dataCentreHeader is passed on, since nodes send it when they open a link.
+	// dataCentreHeader is forwarded, since nodes send it when they open a link.
 	dataCentreHeader = "Cassiatally-Data-Centre"
 )
 
-// Mode tells what happens to answers.
+// Mode selects how answers are altered.
 type Mode string
 
 const (
-	// ModePass passes answers on, and first those that were held back.
+	// ModePass forwards answers unchanged, after those that were held back.
 	ModePass Mode = "pass"
-	// ModeDouble passes each answer twice.
+	// ModeDouble forwards each answer twice.
 	ModeDouble Mode = "double"
-	// ModeLate holds each answer back until two later ones have passed.
+	// ModeLate holds an answer back until the next two have arrived, and forwards it
+	// after them.
 	ModeLate Mode = "late"
-	// ModeCross holds an answer back until the next one, passes a copy of each with
-	// the id of the other, and then both.
+	// ModeCross holds an answer back until the next one arrives, forwards a copy of
+	// each with the id of the other, and then both unchanged.
 	ModeCross Mode = "cross"
-	// ModeSwap holds an answer back until the next one and passes both with the id
-	// of the other only.
+	// ModeSwap holds an answer back until the next one arrives and forwards each with
+	// the id of the other.
 	ModeSwap Mode = "swap"
 )
 
-// Valid reports whether the mode is known.
+// Valid reports whether the mode is defined.
 func (m Mode) Valid() bool {
 	switch m {
 	case ModePass, ModeDouble, ModeLate, ModeCross, ModeSwap:
@@ -65,40 +66,40 @@
 	return false
 }
 
-// Direction is that of the answers that a change is for.
+// Direction selects the direction of a link that a change applies to.
 type Direction string
 
 const (
-	// DirectionBoth is the empty value.
+	// DirectionBoth selects both directions.
 	DirectionBoth Direction = ""
-	// DirectionUp is towards the target.
+	// DirectionUp selects frames towards the target.
 	DirectionUp Direction = "up"
-	// DirectionDown is from the target.
+	// DirectionDown selects frames from the target.
 	DirectionDown Direction = "down"
 )
 
-// Valid reports whether the direction is known.
+// Valid reports whether the direction is defined.
 func (d Direction) Valid() bool {
 	return d == DirectionBoth || d == DirectionUp || d == DirectionDown
 }
 
-// Change is a change of what happens to answers.
+// Change describes a change of the faults.
 type Change struct {
-	// Answers is the new mode; empty keeps the one in force.
+	// Answers is the new mode; empty keeps the current one.
 	Answers Mode
 	// HoldSheet holds back the next sheet record in each direction of a link until
-	// another change comes; later ones overtake it.
+	// the next change; later sheet records overtake it.
 	HoldSheet bool
 	// Direction limits the change to one direction.
 	Direction Direction
-	// Peer limits the change to the links that this node opened. Links that are
-	// opened later are not changed.
+	// Peer limits the change to the open links that this node opened. It does not
+	// apply to links that are opened later.
 	Peer cassiatally.NodeID
-	// Target is where new links go from now on; empty keeps the target.
+	// Target is the target of new links; empty keeps the current one.
 	Target cassiatally.Address
 }
 
-// Status is the state of a proxy. Mixed counts the answers that were doubled,
+// Status is the state of a proxy. Mixed counts the answers that were duplicated,
 // held back or given the id of another call, and the sheets that were held back.
 type Status struct {
 	Target cassiatally.Address
@@ -106,10 +107,10 @@
 	Mixed  uint64
 }
 
-// Proxy passes the links of one address on to one target.
+// Proxy listens on one address and forwards its links to one target.
 type Proxy struct {
 	Listen string
-	// Target is where links go at first.
+	// Target is the initial target.
 	Target cassiatally.Address
 
 	listener net.Listener
@@ -129,13 +130,13 @@
 	mixed    uint64
 }
 
-// faults are those of one direction.
+// faults are the faults of one direction.
 type faults struct {
 	answers   Mode
 	holdSheet bool
 }
 
-// changed returns the faults after a change.
+// withChange returns the faults after a change.
 func (f faults) changed(c Change) faults {
 	f.holdSheet = c.HoldSheet
 	if c.Answers != "" {
@@ -144,7 +145,7 @@
 	return f
 }
 
-// Start listens and accepts until Close.
+// Start listens and accepts links until Close.
 func (p *Proxy) Start(ctx context.Context) error {
 	codec, err := protocol.New()
 	if err != nil {
@@ -167,12 +168,12 @@
 	return nil
 }
 
-// Address returns the address on which the proxy accepts.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() cassiatally.Address {
 	return cassiatally.Address(p.listener.Addr().String())
 }
 
-// Close closes all links and waits for the end of all duties.
+// Close closes all links and waits for all duties.
 func (p *Proxy) Close() {
 	_ = p.server.Close()
 	p.cancel()
@@ -180,9 +181,9 @@
 	p.owner.Close()
 }
 
-// Apply changes what happens to answers.
+// Apply changes the faults.
 func (p *Proxy) Apply(ctx context.Context, c Change) error {
-	var told []*link
+	var links []*link
 	err := p.owner.Do(ctx, func(s *state) {
 		if c.Target != "" {
 			s.target = c.Target
@@ -194,10 +195,10 @@
 			s.set(c)
 		}
 		for l := range s.links {
-			told = append(told, l)
+			links = append(links, l)
 		}
 	})
-	for _, l := range told {
+	for _, l := range links {
 		l.apply(c)
 	}
 	return err
@@ -229,7 +230,7 @@
 	defer p.wg.Done()
 	near, err := websocket.Accept(w, r, &websocket.AcceptOptions{CompressionMode: websocket.CompressionDisabled})
 	if err != nil {
-		// Accept has written the HTTP error.
+		// Accept has already written the HTTP error.
 		return
 	}
 	defer func() { _ = near.CloseNow() }()
@@ -249,7 +250,8 @@
 	l.run(near, far)
 }
 
-// admit has the duty take the link in, so that a later change reaches it.
+// register adds the link to the state, so that later changes apply to it, and
+// returns the target.
 func (p *Proxy) admit(ctx context.Context, l *link) (target cassiatally.Address, err error) {
 	err = p.owner.Do(ctx, func(s *state) {
 		target = s.target
@@ -260,7 +262,7 @@
 }
 
 func (p *Proxy) forget(ctx context.Context, l *link) {
-	// The owner outlives all links, so this always takes effect.
+	// The owner outlives all links, so the operation is always applied.
 	_ = p.owner.Do(context.WithoutCancel(ctx), func(s *state) {
 		delete(s.links, l)
 		s.mixed += l.mixed()
--- a/standin/frameproxy/frameproxy_test.go
+++ b/standin/frameproxy/frameproxy_test.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// read returns the answers that arrive before the next ping, as id:detail.
+// readAnswers returns the answers that arrive before the next other message, each
+// as its id and detail.
 func (e end) read() string {
 	e.t.Helper()
 	var b strings.Builder
@@ -51,12 +52,12 @@
 	}
 }
 
-// sheet returns the version of the next message, which has to be a sheet.
+// readSheet returns the version of the next message, which has to be a sheet.
 func (e end) sheet() cassiatally.Version {
 	e.t.Helper()
 	m, ok := e.next().(cassiatally.SheetRecord)
 	if !ok {
-		e.t.Fatalf("%T is no sheet", m)
+		e.t.Fatalf("%T is not a sheet record", m)
 	}
 	return m.Version
 }
@@ -76,7 +77,7 @@
 	return m
 }
 
-// open returns both ends of a link through a proxy.
+// openLink returns both ends of a link through a proxy.
 func open(t *testing.T) (p *frameproxy.Proxy, near, far end) {
 	t.Helper()
 	codec, err := protocol.New()
@@ -112,8 +113,8 @@
 	return cassiatally.Answer{ID: cassiatally.CallID{Seq: id}, Detail: detail}
 }
 
-// Guards against a mode that does something else to answers than it says, or that
-// loses those it held back.
+// Guards against a mode that alters answers in another way than documented, or
+// that loses answers that it held back.
 func TestModes(t *testing.T) {
 	cases := []struct {
 		mode        frameproxy.Mode
@@ -141,7 +142,8 @@
 	}
 }
 
-// Guards against a sheet that is not held back, holds back later ones, or is lost.
+// Guards against a sheet that is not held back, that delays later ones, or that is
+// lost.
 func TestHoldSheet(t *testing.T) {
 	is := is.New(t)
 	p, near, far := open(t)
@@ -154,13 +156,14 @@
 	is.Equal(near.sheet(), cassiatally.Version(3))
 }
 
-// Guards against a change for the links of one node that reaches those of another.
+// Guards against a change for the links of one node that applies to those of
+// another.
 func TestPeer(t *testing.T) {
 	for _, peer := range []cassiatally.NodeID{"n1", "n2"} {
 		is := is.New(t)
 		p, near, far := open(t)
 		near.write(cassiatally.Hello{From: cassiatally.NodeRef{Node: "n1", Incarnation: 1}})
-		is.Equal(far.read(), "") // the hello has passed
+		is.Equal(far.read(), "") // the proxy has read the hello
 		is.NoErr(p.Apply(t.Context(), frameproxy.Change{Answers: frameproxy.ModeDouble, Peer: peer}))
 		far.write(answer(1, "a"), cassiatally.Ping{Seq: 1})
 		want := "1a "
--- a/standin/frameproxy/link.go
+++ b/standin/frameproxy/link.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// ringCapacity bounds the frames in transit of a direction. A reader that finds
+	// ringCapacity bounds the frames in transit per direction. A reader that finds
 	// the ring full stops reading.
 	ringCapacity = 64
-	// lateBy is how many answers overtake one that is held back.
+	// lateBy is the number of answers that overtake a held one in ModeLate.
 	lateBy = 2
 )
 
@@ -25,24 +25,24 @@
 	ctx      context.Context
 	cancel   context.CancelFunc
 	up, down *mixer
-	// opener is the node that opened the link, once its Hello has passed.
+	// opener is the node that opened the link; nil until its Hello has been read.
 	opener atomic.Pointer[cassiatally.NodeID]
 }
 
-// item is a frame in transit or a change.
+// item is either a frame in transit or a change of the faults.
 type item struct {
 	frame  []byte
 	change *Change
 }
 
-// mixer is one direction of a link. The duty that writes owns faults, held and
-// sheet.
+// relay forwards one direction of a link. The duty that writes owns faults,
+// heldAnswers and heldSheet.
 type mixer struct {
 	faults faults
 	codec  *protocol.Codec
 	ring   *ring.Ring[item]
 	held   []cassiatally.Answer
-	// sheet is the frame that is held back, if any.
+	// heldSheet is the frame of the sheet record that is held back, if any.
 	sheet []byte
 	mixed atomic.Uint64
 	hello func(cassiatally.NodeID)
@@ -72,42 +72,42 @@
 	}
 }
 
-// run passes frames until one of the connections ends.
+// run forwards frames until one of the connections ends.
 func (l *link) run(near, far *websocket.Conn) {
 	var wg sync.WaitGroup
 	for _, d := range []struct {
-		m        *mixer
+		relay    *mixer
 		from, to *websocket.Conn
 	}{{l.up, near, far}, {l.down, far, near}} {
 		d.from.SetReadLimit(protocol.MaxFrameBytes)
 		wg.Go(func() {
 			defer l.cancel()
-			d.m.read(l.ctx, d.from)
+			d.relay.read(l.ctx, d.from)
 		})
 		wg.Go(func() {
 			defer l.cancel()
-			d.m.write(l.ctx, d.to)
+			d.relay.write(l.ctx, d.to)
 		})
 	}
 	wg.Wait()
 }
 
-func (m *mixer) read(ctx context.Context, from *websocket.Conn) {
+func (r *mixer) read(ctx context.Context, from *websocket.Conn) {
 	for {
 		_, frame, err := from.Read(ctx)
-		if err != nil || !m.ring.Push(ctx, item{frame: frame}) {
+		if err != nil || !r.ring.Push(ctx, item{frame: frame}) {
 			return
 		}
 	}
 }
 
-func (m *mixer) write(ctx context.Context, to *websocket.Conn) {
+func (r *mixer) write(ctx context.Context, to *websocket.Conn) {
 	for {
-		i, ok := m.ring.Pop(ctx)
+		i, ok := r.ring.Pop(ctx)
 		if !ok {
 			return
 		}
-		for _, frame := range m.next(i) {
+		for _, frame := range r.next(i) {
 			if to.Write(ctx, websocket.MessageBinary, frame) != nil {
 				return
 			}
@@ -115,87 +115,88 @@
 	}
 }
 
-// next returns the frames to write after an item.
-func (m *mixer) next(i item) [][]byte {
+// process returns the frames to write after an item.
+func (r *mixer) next(i item) [][]byte {
 	if i.change != nil {
-		return m.change(*i.change)
+		return r.change(*i.change)
 	}
-	message, err := m.codec.Decode(i.frame)
+	message, err := r.codec.Decode(i.frame)
 	if err != nil {
-		// The node at the end refuses the frame.
+		// The receiving node refuses the frame.
 		return [][]byte{i.frame}
 	}
 	switch message := message.(type) {
 	case cassiatally.Hello:
-		if m.hello != nil {
-			m.hello(message.From.Node)
+		if r.hello != nil {
+			r.hello(message.From.Node)
 		}
 	case cassiatally.Answer:
-		if m.faults.answers != ModePass {
-			return m.encode(m.mix(message))
+		if r.faults.answers != ModePass {
+			return r.encode(r.mix(message))
 		}
 	case cassiatally.SheetRecord:
-		if m.faults.holdSheet && m.sheet == nil {
-			m.mixed.Add(1)
-			m.sheet = i.frame
+		if r.faults.holdSheet && r.sheet == nil {
+			r.mixed.Add(1)
+			r.sheet = i.frame
 			return nil
 		}
 	}
 	return [][]byte{i.frame}
 }
 
-// change returns what was held back.
-func (m *mixer) change(c Change) [][]byte {
-	m.faults = m.faults.changed(c)
-	out := m.encode(m.release())
-	if m.sheet != nil {
-		out = append(out, m.sheet)
-		m.sheet = nil
+// applyChange changes the faults and returns the frames that were held back.
+func (r *mixer) change(c Change) [][]byte {
+	r.faults = r.faults.changed(c)
+	out := r.encode(r.release())
+	if r.sheet != nil {
+		out = append(out, r.sheet)
+		r.sheet = nil
 	}
 	return out
 }
 
-func (m *mixer) release() []cassiatally.Answer {
-	out := m.held
-	m.held = nil
+func (r *mixer) release() []cassiatally.Answer {
+	out := r.held
+	r.held = nil
 	return out
 }
 
-func (m *mixer) mix(a cassiatally.Answer) []cassiatally.Answer {
-	m.mixed.Add(1)
-	if m.faults.answers == ModeDouble {
+func (r *mixer) mix(a cassiatally.Answer) []cassiatally.Answer {
+	r.mixed.Add(1)
+	if r.faults.answers == ModeDouble {
 		return []cassiatally.Answer{a, a}
 	}
-	if m.faults.answers == ModeLate {
-		m.held = append(m.held, a)
-		if len(m.held) <= lateBy {
+	if r.faults.answers == ModeLate {
+		r.held = append(r.held, a)
+		if len(r.held) <= lateBy {
 			return nil
 		}
-		return m.overtake()
+		return r.overtake()
 	}
-	if len(m.held) == 0 {
-		m.held = append(m.held, a)
+	if len(r.held) == 0 {
+		r.held = append(r.held, a)
 		return nil
 	}
-	first := m.release()[0]
+	first := r.release()[0]
 	crossed := []cassiatally.Answer{first, a}
 	crossed[0].ID, crossed[1].ID = a.ID, first.ID
-	if m.faults.answers == ModeSwap {
+	if r.faults.answers == ModeSwap {
 		return crossed
 	}
 	return append(crossed, first, a)
 }
 
-// overtake passes the answers that are held back, with the first one last.
-func (m *mixer) overtake() []cassiatally.Answer {
-	held := m.release()
+// takeHeldFirstLast removes the held answers and returns them with the first one
+// moved to the end.
+func (r *mixer) overtake() []cassiatally.Answer {
+	held := r.release()
 	return append(held[1:], held[0])
 }
 
-func (m *mixer) encode(answers []cassiatally.Answer) [][]byte {
+func (r *mixer) encode(answers []cassiatally.Answer) [][]byte {
 	var frames [][]byte
 	for _, a := range answers {
-		if frame, err := m.codec.Encode(a); err == nil {
+		if frame, err := r.codec.Encode(a); err == nil {
 			frames = append(frames, frame)
 		}
 	}
