--- a/standin/logserver/logserver.go
+++ b/standin/logserver/logserver.go
@@ -1,5 +1,5 @@
-// Package logserver serves the HTTP interface of the platform's log service,
-// with a control interface that switches faults on and off.
+// Package logserver serves the HTTP interface of the platform's log service, with
+// a control interface for injecting faults.
 //
 // # Usage
 //
@@ -7,9 +7,10 @@
 //	defer s.Close()
 //	web := &httpserver.Server{Listen: "127.0.0.1:0", Handler: s.Handler()}
 //
-// Faults: down answers 503, slow answers after a delay, lose_answers closes the
-// connection after an append took effect, hang never answers an append that
-// took effect. Reads work in the last two modes, so that a client can read back.
+// Modes: down answers 503, slow answers after a delay, lose_answers closes the
+// connection after it has stored an append, hang never answers an append that it
+// has stored. Reads work in the last two modes, so that a client can find out
+// whether its append was stored.
 package logserver
 
 import (
@@ -30,16 +31,16 @@
 )
 
 const (
-	// inboxCapacity bounds the operations that wait for the store.
+	// inboxCapacity bounds the queued operations on the store.
 	inboxCapacity = 1024
-	// defaultMax and largestMax bound the records of one answer.
+	// defaultBatchRecords and maxBatchRecords bound the records of one answer.
 	defaultMax = 100
 	largestMax = 1000
-	// longestWait bounds a long poll.
+	// maxPollWait bounds the wait of a long poll.
 	longestWait = time.Minute
 )
 
-// Mode is a fault of the log service.
+// Mode selects the fault of the log service.
 type Mode string
 
 // The modes of the log service.
@@ -51,7 +52,7 @@
 	ModeHang        Mode = "hang"
 )
 
-// Valid reports whether the mode is known.
+// Valid reports whether the mode is defined.
 func (m Mode) Valid() bool {
 	switch m {
 	case ModeUp, ModeDown, ModeSlow, ModeLoseAnswers, ModeHang:
@@ -60,7 +61,7 @@
 	return false
 }
 
-// Server is the log service.
+// Server is the HTTP server of the log service.
 type Server struct {
 	clock cassiatally.Clock
 	owner *owner.Owner[state]
@@ -112,13 +113,13 @@
 	wait   time.Duration
 }
 
-// New returns a server of the store, which it owns from then on.
+// New returns a server that takes ownership of the store.
 func New(store *logstore.Store, clock cassiatally.Clock) *Server {
 	s := &state{store: store, mode: ModeUp}
 	return &Server{clock: clock, owner: owner.New(s, inboxCapacity)}
 }
 
-// Close waits for the end of the duty that owns the store.
+// Close stops the duty that owns the store and waits for it.
 func (s *Server) Close() { s.owner.Close() }
 
 // Handler returns the HTTP interface.
@@ -203,7 +204,8 @@
 	return c.JSON(http.StatusOK, encodeBatch(batch))
 }
 
-// readOrWait waits for the first record on the channel that the store closes.
+// readOrWait reads a batch. When there is no record, it waits up to q.wait for one,
+// on the channel that the store closes.
 func (s *Server) readOrWait(ctx context.Context, q readQuery) (cassiatally.Batch, error) {
 	timer := time.NewTimer(q.wait)
 	defer timer.Stop()
@@ -232,7 +234,7 @@
 	}
 }
 
-// passFault answers 503 when the log is down, and waits when it is slow.
+// applyFault returns a 503 error in ModeDown, and waits for the delay in ModeSlow.
 func (s *Server) passFault(ctx context.Context) error {
 	var mode Mode
 	var delay time.Duration
@@ -261,8 +263,8 @@
 func (s *Server) handleStatus(c echo.Context) error {
 	var answer controlBody
 	err := s.owner.Do(c.Request().Context(), func(st *state) {
-		counted := st.counters
-		answer = controlBody{Mode: st.mode, Delay: st.delay.String(), Counters: &counted}
+		copied := st.counters
+		answer = controlBody{Mode: st.mode, Delay: st.delay.String(), Counters: &copied}
 	})
 	if err != nil {
 		return unavailable(err)
--- a/standin/logserver/logserver_test.go
+++ b/standin/logserver/logserver_test.go
@@ -59,8 +59,8 @@
 
 const records = "/v1/streams/sheet/records"
 
-// Guards against a fault that loses the write instead of its answer, and against
-// modes that answer as if there were no fault.
+// Guards against a mode that loses the append instead of its answer, and against
+// modes without effect.
 func TestModes(t *testing.T) {
 	cases := []struct {
 		mode     logserver.Mode
@@ -85,7 +85,7 @@
 			is.Equal(status, http.StatusOK)
 			limit := time.Minute
 			if c.mode == logserver.ModeHang {
-				limit = 300 * time.Millisecond // nothing else ends the wait
+				limit = 300 * time.Millisecond // only this limit ends the request
 			}
 			begin := time.Now()
 			status, err = send(t, limit, http.MethodPost, url+records, "record", nil)
@@ -104,14 +104,15 @@
 	}
 }
 
-// Guards against a long poll that misses an append or ends without waiting.
+// Guards against a long poll that misses an append or returns without waiting.
 func TestLongPoll(t *testing.T) {
 	is := is.New(t)
 	url := serve(t)
 	got := make(chan batch, 1)
 	go func() {
 		var b batch
-		// The limit is shorter than the wait, so only the append can end it in time.
+		// The limit is shorter than the wait, so the request only succeeds if the
+		// append ends the wait.
 		_, _ = send(t, 30*time.Second, http.MethodGet, url+records+"?from=0&wait=1m", "", &b)
 		got <- b
 	}()
