--- a/standin/logstore/logstore.go
+++ b/standin/logstore/logstore.go
@@ -1,7 +1,7 @@
-// Package logstore keeps append-only streams in memory, as the platform's log
-// service does: records are dropped after the retention time, offsets never
-// restart, and the rate of appends is bounded. It takes the time as an
-// argument and knows nothing of HTTP.
+// Package logstore stores append-only streams in memory with the limits of the
+// platform's log service: records expire after the retention time, offsets are
+// never reused, and the rate of appends is limited. It takes the time as an
+// argument and does not depend on HTTP.
 //
 // # Usage
 //
@@ -23,16 +23,18 @@
 )
 
 var (
-	// ErrTooFast tells that appends come faster than the stated rate.
+	// ErrTooFast is returned when appends exceed the rate limit.
 	ErrTooFast = errors.New("appends come faster than the log accepts")
-	// ErrFull tells that the store holds as many bytes as it may.
+	// ErrFull is returned when a record would exceed the byte limit.
 	ErrFull = errors.New("the log is full")
 )
 
-// maxBatchBytes bounds the data of one answer to a read.
+// maxBatchBytes bounds the data of one batch. The record that exceeds it is still
+// part of the batch.
 const maxBatchBytes = 8 << 20
 
-// burstTime is the time whose appends may come at once.
+// burstTime sets the burst of the rate limit: the appends that the rate allows in
+// this time may arrive at once.
 const burstTime = 100 * time.Millisecond
 
 // Limits bound a store.
@@ -88,8 +90,8 @@
 	return offset, nil
 }
 
-// Read returns up to limit records from the offset on. When there is none, the
-// channel is closed once there may be one.
+// Read returns up to limit records, starting at the offset. The channel is closed
+// at the next append to the stream or by WakeReaders.
 func (s *Store) Read(now cassiatally.Instant, name cassiatally.Stream, from cassiatally.Offset, limit int) (cassiatally.Batch, <-chan struct{}) {
 	s.expire(now)
 	st := s.stream(name)
@@ -107,7 +109,8 @@
 	return batch, st.changed
 }
 
-// Wake ends all waits for new records.
+// WakeReaders closes the channels of all streams, so that waiting readers read
+// again.
 func (s *Store) Wake() {
 	for _, st := range s.streams {
 		st.wake()
--- a/standin/logstore/logstore_test.go
+++ b/standin/logstore/logstore_test.go
@@ -16,8 +16,8 @@
 	return logstore.New(logstore.Limits{AppendsPerSecond: perSecond, Retention: time.Minute, MaxBytes: 100})
 }
 
-// Guards against records that outlive the retention and against offsets that
-// restart once all records are gone.
+// Guards against records that are returned after the retention time, and against
+// offsets that are reused once all records have expired.
 func TestRetentionKeepsOffsets(t *testing.T) {
 	is := is.New(t)
 	s := newStore(1000)
@@ -27,7 +27,7 @@
 		is.Equal(offset, cassiatally.Offset(i))
 	}
 	batch, _ := s.Read(at(61*time.Second), "sheet", 0, 10)
-	is.Equal(batch.Oldest, cassiatally.Offset(2)) // the records of seconds 0 and 1 are gone
+	is.Equal(batch.Oldest, cassiatally.Offset(2)) // the records of seconds 0 and 1 have expired
 	is.Equal(len(batch.Records), 1)
 	is.Equal(batch.Records[0].Offset, cassiatally.Offset(2))
 	is.Equal(batch.Records[0].Expires, time.Second)
@@ -36,7 +36,8 @@
 	is.Equal(offset, cassiatally.Offset(3))
 }
 
-// Guards against reads that miss records or return ones that were not asked for.
+// Guards against reads that miss records or return records outside the requested
+// range.
 func TestReadRange(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -66,16 +67,16 @@
 	}
 }
 
-// Guards against a log that accepts more than the platform's log would.
+// Guards against a store that accepts more than the platform's log service does.
 func TestLimits(t *testing.T) {
 	is := is.New(t)
 	s := newStore(10)
 	_, err := s.Append(at(0), "a", []byte("r"))
 	is.NoErr(err)
 	_, err = s.Append(at(0), "b", []byte("r"))
-	is.Equal(err, logstore.ErrTooFast) // the rate holds for all streams together
+	is.Equal(err, logstore.ErrTooFast) // all streams share one rate limit
 	_, err = s.Append(at(time.Second), "b", make([]byte, 100))
 	is.Equal(err, logstore.ErrFull)
 	_, err = s.Append(at(2*time.Minute), "b", make([]byte, 100))
-	is.NoErr(err) // expired records leave room
+	is.NoErr(err) // expired records free their bytes
 }
