--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -1,10 +1,10 @@
-// Package caller sends the requests of callers to nodes, sends them again by
-// their policy, and tells what each caller was told.
+// Package caller sends the requests of callers to nodes, resends them according to
+// their policy, and returns the result that was reported to each caller.
 //
 // # Usage
 //
 //	c := &caller.Caller{Nodes: []string{"http://127.0.0.1:7000"}, Client: client}
-//	told := c.Do(ctx, caller.Job{ID: id, Class: class, Due: time.Now()})
+//	result := c.Do(ctx, caller.Job{ID: id, Class: class, Due: time.Now()})
 package caller
 
 import (
@@ -18,15 +18,16 @@
 )
 
 const (
-	// answerGrace is how much longer a caller that does not send again waits, so
-	// that a refusal sent at the deadline still reaches it.
+	// answerGrace extends the wait of a caller that does not resend, so that a refusal
+	// that is sent at the deadline still arrives.
 	answerGrace = 500 * time.Millisecond
-	// lookupPause and lookupTimeout bound the queries for the outcome of a key.
+	// lookupPause is the time before each query for the outcome of a key,
+	// lookupTimeout bounds the query.
 	lookupPause   = 500 * time.Millisecond
 	lookupTimeout = 2 * time.Second
 )
 
-// The error kinds that a caller states by itself.
+// The error kinds that the caller itself sets, without an answer of a node.
 const (
 	errorTimeout     = "caller_timeout"
 	errorConnection  = "caller_connection_lost"
@@ -40,53 +41,55 @@
 	Class  loadplan.Class
 	Phase  loadplan.PhaseName
 	Tenant cassiatally.Tenant
-	// Due is the time at which the request was to be sent. Latency counts from it,
-	// so that a caller which falls behind does not hide slow answers.
+	// Due is the scheduled time of the request. Latency is measured from it, so that
+	// slow answers are not hidden when the caller falls behind its schedule.
 	Due time.Time
-	// First is the index of the node that gets the first copy.
+	// FirstNode is the index of the node that receives the first copy; further copies
+	// go to the following nodes.
 	First int
 }
 
 // Caller sends requests.
 type Caller struct {
-	// Nodes are the URLs of the nodes.
+	// Nodes are the base URLs of the nodes.
 	Nodes  []string
 	Client *http.Client
-	// Latency is the delay of the callers' links in each direction.
+	// Latency is the simulated network delay of the callers in each direction.
 	Latency time.Duration
-	// Direct sends requests to backend servers, as a node does, for comparison.
+	// Direct sends requests to backend servers instead of nodes, for comparison.
 	Direct bool
 }
 
-// result is the end of one copy of a request.
+// copyResult is the result of one copy of a request.
 type result struct {
 	outcome   string
 	errorKind string
 	status    int
 	fault     core.Fault
 	root      core.Root
-	// answered is set when a node answered at all.
+	// answered is set when a node sent any answer.
 	answered bool
 }
 
-// Do sends a request until its policy ends and returns what the caller was told.
+// Do sends a request, with the resends of its policy, and returns the result that
+// is reported to the caller.
 func (c *Caller) Do(ctx context.Context, j Job) core.Told {
-	last, told := c.sendAll(ctx, j)
-	told.Outcome, told.ErrorKind, told.Status, told.Fault = last.outcome, last.errorKind, last.status, last.fault
-	told.Root = last.root
+	last, reported := c.sendAll(ctx, j)
+	reported.Outcome, reported.ErrorKind, reported.Status, reported.Fault = last.outcome, last.errorKind, last.status, last.fault
+	reported.Root = last.root
 	latency := time.Since(j.Due)
-	told.LatencyMS = float64(latency.Microseconds()) / float64(time.Millisecond/time.Microsecond)
-	told.InTime = last.status == http.StatusOK && last.fault == core.FaultNone && latency <= j.Class.Target
-	if told.Outcome == core.ToldUnknown && told.Key != "" {
-		told.LookedUp = c.lookUp(ctx, j, told.Key)
+	reported.LatencyMS = float64(latency.Microseconds()) / float64(time.Millisecond/time.Microsecond)
+	reported.InTime = last.status == http.StatusOK && last.fault == core.FaultNone && latency <= j.Class.Target
+	if reported.Outcome == core.ToldUnknown && reported.Key != "" {
+		reported.LookedUp = c.lookUp(ctx, j, reported.Key)
 	}
-	return told
+	return reported
 }
 
-// sendAll sends the copies of a request. A copy that was not answered leaves the
-// outcome uncertain, unless a node answers for the key later.
+// sendAll sends the copies of a request. A copy without an answer makes the outcome
+// uncertain, unless a node reports the outcome of the key in a later answer.
 func (c *Caller) sendAll(ctx context.Context, j Job) (result, core.Told) {
-	told := core.Told{
+	reported := core.Told{
 		ID: j.ID, Class: string(j.Class.Name), Phase: string(j.Phase),
 		Service: j.Class.Service, Kind: j.Class.Kind, Tenant: j.Tenant,
 	}
@@ -95,33 +98,35 @@
 	keyAttempt := 0
 	for copies := 0; copies <= j.Class.Resend.Count; copies++ {
 		node := c.Nodes[(j.First+copies)%len(c.Nodes)]
-		if j.Class.Keyed && told.Key == "" {
+		if j.Class.Keyed && reported.Key == "" {
 			key, err := c.mint(ctx, node, j)
 			if err != nil {
 				last = result{outcome: core.ToldNotRun, errorKind: errorKeyMint}
-				told.Attempts++
+				reported.Attempts++
 				continue
 			}
-			told.Key, keyAttempt = key, 0
+			reported.Key, keyAttempt = key, 0
 		}
 		keyAttempt++
-		told.Attempts++
-		last = c.send(ctx, node, j, told.Key, keyAttempt)
+		reported.Attempts++
+		last = c.send(ctx, node, j, reported.Key, keyAttempt)
 		if !again(j.Class.Resend, last) {
 			break
 		}
 		uncertain = uncertain || last.outcome == core.ToldUnknown
-		if last.outcome == core.ToldNotRun && last.answered && told.Key != "" && copies < j.Class.Resend.Count {
-			// A void key is never run, so another copy needs a new one.
-			told.Key, uncertain = "", false
+		if last.outcome == core.ToldNotRun && last.answered && reported.Key != "" && copies < j.Class.Resend.Count {
+			// A key that was reported as not run is void and will never run, so the next
+			// copy needs a new key.
+			reported.Key, uncertain = "", false
 		}
 	}
-	settle(&last, uncertain, told.Key != "")
-	return last, told
+	settle(&last, uncertain, reported.Key != "")
+	return last, reported
 }
 
-// settle keeps an earlier uncertain copy in the outcome. Only a node that answers
-// for the key speaks for all copies.
+// resolveOutcome turns the outcome not run of the last copy into unknown when an
+// earlier copy is uncertain, since that copy may have run. An answer for a request
+// with a key covers all copies of the key and is kept.
 func settle(last *result, uncertain, keyed bool) {
 	if !uncertain || last.outcome != core.ToldNotRun {
 		return
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -17,7 +17,7 @@
 	"github.com/cassiatally/cassiatally/standin/loadplan"
 )
 
-// reply is what the fake node does with one copy of a request.
+// reply selects how the fake node answers one copy of a request.
 type reply string
 
 const (
@@ -81,8 +81,8 @@
 	_, _ = io.WriteString(w, body)
 }
 
-// Guards against a caller that says more than it was told: only a node's answer
-// for the key covers a copy that was lost before.
+// Guards against a result that claims more than the answers prove: only a node's
+// answer for the key covers an earlier copy whose answer was lost.
 func TestOutcomes(t *testing.T) {
 	hard := loadplan.Resend{Policy: loadplan.ResendHard, Count: 1}
 	onRefusal := loadplan.Resend{Policy: loadplan.ResendHard, Count: 1, OnRefusal: true}
@@ -113,11 +113,11 @@
 			node := &fakeNode{replies: c.replies}
 			web := httptest.NewServer(node)
 			defer web.Close()
-			told := do(t, web.URL, loadplan.Class{Resend: c.resend, Keyed: c.keyed})
-			is.Equal(told.Outcome, c.outcome)
-			is.Equal(told.Fault, c.fault)
-			is.Equal(told.Attempts, len(c.copies))
-			is.Equal(told.InTime, c.outcome == core.ToldRan && c.fault == core.FaultNone)
+			reported := do(t, web.URL, loadplan.Class{Resend: c.resend, Keyed: c.keyed})
+			is.Equal(reported.Outcome, c.outcome)
+			is.Equal(reported.Fault, c.fault)
+			is.Equal(reported.Attempts, len(c.copies))
+			is.Equal(reported.InTime, c.outcome == core.ToldRan && c.fault == core.FaultNone)
 			node.mu.Lock()
 			defer node.mu.Unlock()
 			is.Equal(node.copies, c.copies)
@@ -139,17 +139,18 @@
 	node := &fakeNode{replies: []reply{replyLost}, lookUp: core.ToldRan}
 	web := httptest.NewServer(node)
 	defer web.Close()
-	told := do(t, web.URL, loadplan.Class{Keyed: true, Lookups: 1})
-	is.Equal(told.Outcome, core.ToldUnknown)
-	is.Equal(told.LookedUp, core.ToldRan)
+	reported := do(t, web.URL, loadplan.Class{Keyed: true, Lookups: 1})
+	is.Equal(reported.Outcome, core.ToldUnknown)
+	is.Equal(reported.LookedUp, core.ToldRan)
 }
 
-// Guards against a request that was never sent and counts as uncertain.
+// Guards against a request that could not be sent but whose outcome is reported as
+// unknown.
 func TestUnreachable(t *testing.T) {
 	is := is.New(t)
 	web := httptest.NewServer(http.NotFoundHandler())
 	web.Close()
-	told := do(t, web.URL, loadplan.Class{})
-	is.Equal(told.Outcome, core.ToldNotRun)
-	is.Equal(told.ErrorKind, "caller_unreachable")
+	reported := do(t, web.URL, loadplan.Class{})
+	is.Equal(reported.Outcome, core.ToldNotRun)
+	is.Equal(reported.ErrorKind, "caller_unreachable")
 }
--- a/standin/caller/wire.go
+++ b/standin/caller/wire.go
@@ -79,8 +79,8 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "building the request")
 	}
-	// A request with a key counts as idempotent for net/http, which would send it
-	// again by itself after a lost connection. Without GetBody it cannot.
+	// net/http treats a request with an Idempotency-Key header as idempotent and
+	// would resend it after a lost connection. Without GetBody it cannot.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(core.HeaderTenant, string(j.Tenant))
@@ -108,8 +108,8 @@
 	return body, errors.Wrap(err, "encoding the request")
 }
 
-// lost tells what a caller knows when no answer came. Only a connection that was
-// never made proves that the request was not sent.
+// resultWithoutAnswer returns the result of a copy that got no answer. Only a failed
+// dial proves that the request was not sent.
 func lost(err error) result {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -157,7 +157,7 @@
 	return p.Type[strings.LastIndexAny(p.Type, "/:#")+1:]
 }
 
-// mint has a node make a key.
+// mintKey requests a new key from a node.
 func (c *Caller) mint(ctx context.Context, node string, j Job) (cassiatally.Key, error) {
 	ctx, cancel := context.WithTimeout(ctx, j.Class.Timeout)
 	defer cancel()
@@ -181,7 +181,8 @@
 	return body.Key, nil
 }
 
-// lookUp asks the nodes for the outcome of a key until it is known.
+// lookUpOutcome queries the nodes for the outcome of a key until one reports ran or
+// not run, or the queries of the class are used up.
 func (c *Caller) lookUp(ctx context.Context, j Job, key cassiatally.Key) string {
 	outcome := ""
 	for n := range j.Class.Lookups {
