--- a/standin/loader/loader.go
+++ b/standin/loader/loader.go
@@ -1,5 +1,5 @@
-// Package loader runs the plan of a load: a duty for the arrivals of each class,
-// joined by a ring to the workers that send the requests.
+// Package loader runs the plan of a load: one duty per class generates the
+// arrivals and passes them through a ring to the workers that send the requests.
 //
 // # Usage
 //
@@ -25,21 +25,21 @@
 )
 
 const (
-	// jobCapacity bounds the requests that are due and wait for a worker. A full
-	// ring refuses the newest, which counts as unsent.
+	// jobCapacity bounds the due requests that wait for a worker. A full ring refuses
+	// the newest request, which counts as unsent.
 	jobCapacity      = 4096
 	tallyCapacity    = 4096
 	progressInterval = 5 * time.Second
-	// phaseStride keeps the random streams of phases apart.
+	// phaseStride separates the random streams of the phases.
 	phaseStride = 1 << 16
 )
 
-// Sender sends one request and returns what its caller was told.
+// Sender sends one request and returns the result reported to its caller.
 type Sender interface {
 	Do(ctx context.Context, j caller.Job) core.Told
 }
 
-// Results takes the results one by one.
+// Results accepts the results one by one.
 type Results interface {
 	Push(ctx context.Context, t core.Told) bool
 }
@@ -47,40 +47,40 @@
 // Loader runs one plan.
 type Loader struct {
 	Plan loadplan.Plan
-	// Name begins the id of each request, so that several loads can share a
-	// recorder.
+	// Name is the prefix of the id of each request. It keeps the ids of several loads
+	// that share a recorder distinct.
 	Name string
 	Seed uint64
 	// Workers bounds the requests in flight.
 	Workers int
 	Caller  Sender
 	Results Results
-	// Progress, if set, gets a line every 5 s.
+	// Progress, if set, logs a line every 5 s.
 	Progress *log.Logger
 
 	jobs  *ring.Ring[caller.Job]
 	tally *owner.Owner[loadtally.Tally]
 }
 
-// Run runs the phases one after another and returns the results once all
-// requests have ended. The end of ctx ends the arrivals, not the requests.
+// Run runs the phases one after another and returns the results once all requests
+// have ended. When ctx ends, arrivals stop but requests in flight continue.
 func (l *Loader) Run(ctx context.Context) []loadtally.Row {
 	l.jobs = ring.New[caller.Job](jobCapacity, ring.RefuseNewest)
 	tally := loadtally.New()
 	l.tally = owner.New(tally, tallyCapacity)
-	steady := context.WithoutCancel(ctx)
+	requestCtx := context.WithoutCancel(ctx)
 	var workers, progress sync.WaitGroup
 	for range l.Workers {
-		workers.Go(func() { l.work(steady) })
+		workers.Go(func() { l.work(requestCtx) })
 	}
-	reporting, stop := context.WithCancel(steady)
-	progress.Go(func() { l.report(reporting) })
+	progressCtx, stopProgress := context.WithCancel(requestCtx)
+	progress.Go(func() { l.report(progressCtx) })
 	for i, p := range l.Plan.Phases {
 		l.runPhase(ctx, i, p)
 	}
 	l.jobs.Close()
 	workers.Wait()
-	stop()
+	stopProgress()
 	progress.Wait()
 	l.tally.Close()
 	return tally.Rows()
@@ -101,7 +101,7 @@
 	duties.Wait()
 }
 
-// arrive is the duty for the arrivals of one class in one phase.
+// runArrivals is the duty that generates the arrivals of one class in one phase.
 func (l *Loader) arrive(ctx context.Context, start time.Time, p loadplan.Phase, c loadplan.Class, source *arrivals.Arrivals) {
 	n := 0
 	for at := source.Next(); at < p.Duration; at = source.Next() {
@@ -118,10 +118,10 @@
 }
 
 func (l *Loader) offer(ctx context.Context, j caller.Job) {
-	taken := l.jobs.Push(ctx, j)
+	accepted := l.jobs.Push(ctx, j)
 	l.count(ctx, func(t *loadtally.Tally) {
 		t.Offer(j.Phase, j.Class.Name)
-		if !taken {
+		if !accepted {
 			t.Drop(j.Phase, j.Class.Name)
 		}
 	})
@@ -133,14 +133,15 @@
 		if !ok {
 			return
 		}
-		told := l.Caller.Do(ctx, j)
-		l.count(ctx, func(t *loadtally.Tally) { t.Add(told) })
-		l.Results.Push(ctx, told)
+		result := l.Caller.Do(ctx, j)
+		l.count(ctx, func(t *loadtally.Tally) { t.Add(result) })
+		l.Results.Push(ctx, result)
 	}
 }
 
 func (l *Loader) count(ctx context.Context, apply func(*loadtally.Tally)) {
-	// The tally is closed only after all duties that count have ended.
+	// The tally is closed after all duties that update it have ended, so the operation
+	// is always applied.
 	_ = l.tally.Do(context.WithoutCancel(ctx), apply)
 }
 
