--- a/standin/loadplan/loadplan.go
+++ b/standin/loadplan/loadplan.go
@@ -4,7 +4,7 @@
 //
 //	plan, err := loadplan.Parse(data)
 //
-// A plan has classes of requests and phases with a rate for each class:
+// A plan has classes of requests, and phases with a rate for each class:
 //
 //	classes:
 //	  - name: confirm
@@ -32,30 +32,30 @@
 	ClassName string
 	// PhaseName names a phase.
 	PhaseName string
-	// Rate is a number of requests a second.
+	// Rate is a number of requests per second.
 	Rate float64
-	// Policy tells whether a caller sends a request again.
+	// Policy selects when a caller resends a request.
 	Policy string
 )
 
 const (
 	// ResendNone sends each request once.
 	ResendNone Policy = "none"
-	// ResendHard sends a request again at once after its timeout or after a lost
+	// ResendHard resends a request immediately after its timeout or after a lost
 	// connection.
 	ResendHard Policy = "hard"
 )
 
-// defaultTimeout holds for a class without a timeout.
+// defaultTimeout applies to classes without a timeout.
 const defaultTimeout = time.Second
 
-// Resend tells when and how often a request is sent again.
+// Resend defines when and how often a request is resent.
 type Resend struct {
 	Policy Policy
-	// Count bounds the copies after the first.
+	// Count is the maximum number of copies after the first.
 	Count int
-	// OnRefusal also sends a request again that was told not to have been run; a
-	// request with a key then gets a new key.
+	// OnRefusal also resends a request that was reported as not run; a request with a
+	// key then gets a new key.
 	OnRefusal bool
 }
 
@@ -65,23 +65,24 @@
 	Service cassiatally.Service
 	Kind    cassiatally.WorkKind
 	Tenants []cassiatally.Tenant
-	// Timeout bounds one copy of a request.
+	// Timeout is the timeout of each copy of a request.
 	Timeout time.Duration
-	// Target is the time within which a request counts as completed in time.
+	// Target is the maximum latency of a request that counts as in time.
 	Target time.Duration
 	Resend Resend
 	Keyed  bool
-	// Lookups bounds the queries for the outcome of a key that is unknown.
+	// Lookups is the maximum number of queries for the outcome of a key after an
+	// unknown outcome.
 	Lookups int
-	// Text is put into the body, for example to crash backend servers.
+	// Text is included in the body, for example to crash backend servers.
 	Text string
 	// BodySize is the size in bytes to which bodies are padded.
 	BodySize int
-	// AnswerSize is the least size in bytes of a complete answer.
+	// AnswerSize is the minimum size in bytes of a complete answer.
 	AnswerSize int
 }
 
-// Phase is a time with steady rates.
+// Phase is a period with constant rates.
 type Phase struct {
 	Name     PhaseName
 	Duration time.Duration
@@ -126,7 +127,7 @@
 	Rates    map[ClassName]Rate `yaml:"rates"`
 }
 
-// Parse reads a plan and reports all its problems in one error.
+// Parse decodes and validates a plan. The error lists all problems.
 func Parse(data []byte) (Plan, error) {
 	var file planFile
 	if err := yaml.UnmarshalWithOptions(data, &file, yaml.Strict()); err != nil {
--- a/standin/loadplan/loadplan_test.go
+++ b/standin/loadplan/loadplan_test.go
@@ -10,7 +10,7 @@
 	"github.com/cassiatally/cassiatally/standin/loadplan"
 )
 
-// Guards against a plan whose values are read wrongly.
+// Guards against values of a plan that are decoded wrongly.
 func TestParse(t *testing.T) {
 	is := is.New(t)
 	plan, err := loadplan.Parse([]byte(`
@@ -26,7 +26,8 @@
 	is.Equal(plan.Phases[0].Rates["confirm"], loadplan.Rate(20.5))
 }
 
-// Guards against a misspelt plan that runs as another load.
+// Guards against a misspelt or incomplete plan that is accepted and generates
+// another load than intended.
 func TestParseRefuses(t *testing.T) {
 	const class = "classes: [{name: a, service: s, kind: k%}]\n"
 	const phase = "phases: [{name: p, duration: 1s, rates: {a: 1}}]\n"
