--- a/standin/loadtally/loadtally.go
+++ b/standin/loadtally/loadtally.go
@@ -3,8 +3,8 @@
 // # Usage
 //
 //	t := loadtally.New()
-//	t.Offer("base", "confirm")
-//	t.Add(told)
+//	t.CountOffered("base", "confirm")
+//	t.AddResult(result)
 //	for _, row := range t.Rows() {
 //		fmt.Println(row.Phase, row.Class, row.InTime)
 //	}
@@ -26,35 +26,36 @@
 const (
 	lowestLatency  = 1
 	highestLatency = int64(10 * time.Minute / time.Microsecond)
-	// significantDigits keep a histogram below 200 KB.
+	// significantDigits of 3 keep a histogram below 200 KB.
 	significantDigits = 3
 	microsInMilli     = 1000.0
 )
 
-// Row is the results of one class in one phase.
+// Row holds the counts and latencies of one class in one phase.
 type Row struct {
 	Phase loadplan.PhaseName
 	Class loadplan.ClassName
-	// Offered counts the requests that were due.
+	// Offered counts the requests that became due.
 	Offered int
-	// Unsent counts requests that the load itself could not send in time.
+	// Unsent counts requests that were dropped since no worker was free in time.
 	Unsent int
-	// InTime counts whole own answers within the target, Late those after it.
+	// InTime counts answers without a fault within the target, Late those after it.
 	InTime int
 	Late   int
-	// Shed counts requests told not to have been run.
+	// Shed counts requests that were reported as not run, Failed those reported as
+	// run without a successful answer, Unknown those with an unknown outcome.
 	Shed    int
 	Failed  int
 	Unknown int
 	// Faults counts answers that were foreign, incomplete or corrupted.
 	Faults   int
 	Attempts int
-	// P50 and P99 are the latencies of whole own answers.
+	// P50 and P99 are latencies of successful answers without a fault.
 	P50 time.Duration
 	P99 time.Duration
 }
 
-// Tally is the results of a load.
+// Tally counts the results of a load.
 type Tally struct {
 	cells map[cellName]*cell
 	order []cellName
@@ -73,39 +74,40 @@
 // New returns an empty tally.
 func New() *Tally { return &Tally{cells: make(map[cellName]*cell)} }
 
-// Offer counts a request that is due.
+// CountOffered counts a request that became due.
 func (t *Tally) Offer(p loadplan.PhaseName, c loadplan.ClassName) { t.cell(p, c).row.Offered++ }
 
-// Drop counts a request that the load could not send in time.
+// CountUnsent counts a request that was dropped since no worker was free in time.
 func (t *Tally) Drop(p loadplan.PhaseName, c loadplan.ClassName) { t.cell(p, c).row.Unsent++ }
 
-// Add counts a result.
-func (t *Tally) Add(told core.Told) {
-	c := t.cell(loadplan.PhaseName(told.Phase), loadplan.ClassName(told.Class))
-	c.row.Attempts += told.Attempts
-	whole := told.Status == http.StatusOK && told.Fault == core.FaultNone
+// AddResult counts a result.
+func (t *Tally) Add(r core.Told) {
+	c := t.cell(loadplan.PhaseName(r.Phase), loadplan.ClassName(r.Class))
+	c.row.Attempts += r.Attempts
+	correct := r.Status == http.StatusOK && r.Fault == core.FaultNone
 	switch {
-	case told.Fault != core.FaultNone:
+	case r.Fault != core.FaultNone:
 		c.row.Faults++
-	case told.InTime:
+	case r.InTime:
 		c.row.InTime++
-	case whole:
+	case correct:
 		c.row.Late++
-	case told.Outcome == core.ToldNotRun:
+	case r.Outcome == core.ToldNotRun:
 		c.row.Shed++
-	case told.Outcome == core.ToldRan:
+	case r.Outcome == core.ToldRan:
 		c.row.Failed++
 	default:
 		c.row.Unknown++
 	}
-	if whole {
-		micros := int64(told.LatencyMS * microsInMilli)
-		// The range holds every latency that the timeouts of a plan allow.
+	if correct {
+		micros := int64(r.LatencyMS * microsInMilli)
+		// The range of the histogram covers every latency that a plan can produce.
 		_ = c.latencies.RecordValue(min(max(micros, lowestLatency), highestLatency))
 	}
 }
 
-// Rows returns the results in the order in which phases and classes began.
+// Rows returns the results in the order in which each phase and class was first
+// counted.
 func (t *Tally) Rows() []Row {
 	rows := make([]Row, 0, len(t.order))
 	for _, name := range t.order {
@@ -118,7 +120,7 @@
 	return rows
 }
 
-// Done returns how many requests were offered and how many have ended.
+// Progress returns the number of requests that were offered and that have ended.
 func (t *Tally) Done() (offered, ended int) {
 	for _, c := range t.cells {
 		r := c.row
