--- a/standin/arrivals/arrivals.go
+++ b/standin/arrivals/arrivals.go
@@ -1,4 +1,4 @@
-// Package arrivals draws the times of requests of an open-loop load: a Poisson
+// Package arrivals generates the arrival times of an open-loop load: a Poisson
 // process whose rate does not depend on the answers.
 //
 // # Usage
@@ -15,15 +15,16 @@
 	"time"
 )
 
-// Arrivals is a Poisson process. It is not safe for concurrent use.
+// Arrivals generates the arrival times of one Poisson process. It is not safe for
+// concurrent use.
 type Arrivals struct {
 	mean time.Duration
 	at   time.Duration
 	rng  *rand.Rand
 }
 
-// New returns the process of the rate in requests a second. Equal seeds and
-// streams give equal times.
+// New returns a process with the rate in requests per second. The same seed and
+// stream produce the same times.
 func New(rate float64, seed, stream uint64) *Arrivals {
 	a := &Arrivals{rng: rand.New(rand.NewPCG(seed, stream))}
 	if rate > 0 {
@@ -32,8 +33,8 @@
 	return a
 }
 
-// Next returns the time of the next request since the start. A process of rate
-// 0 has none, which is a time beyond all durations.
+// Next returns the time from the start to the next request. A process of rate 0 has
+// no requests and returns the maximum duration.
 func (a *Arrivals) Next() time.Duration {
 	if a.mean <= 0 {
 		return math.MaxInt64
@@ -42,5 +43,5 @@
 	return a.at
 }
 
-// Pick returns a number in [0, n) from the same random source.
+// Pick returns a random number in [0, n) from the source of the process.
 func (a *Arrivals) Pick(n int) int { return a.rng.IntN(n) }
