--- a/standin/sampler/sampler.go
+++ b/standin/sampler/sampler.go
@@ -22,7 +22,8 @@
 	Exponential = "exponential"
 )
 
-// largestFactor bounds a sample, so that one draw cannot hold a slot for long.
+// maxFactor bounds a sample to 10 times the mean, so that a single sample cannot
+// occupy a slot for long.
 const largestFactor = 10
 
 type fixed struct{}
@@ -41,8 +42,7 @@
 	return time.Duration(factor * float64(mean))
 }
 
-// New returns the sampler of the named distribution. It is safe for concurrent
-// use.
+// New returns a sampler of the named distribution that is safe for concurrent use.
 func New(name string, seed uint64) (core.Sampler, error) {
 	switch name {
 	case Fixed:
