--- a/standin/owner/owner.go
+++ b/standin/owner/owner.go
@@ -1,5 +1,5 @@
-// Package owner runs a duty that is the sole owner of a state. Other goroutines
-// pass it operations through a bounded ring and wait for their end.
+// Package owner runs a duty that exclusively owns a state. Other goroutines send
+// it operations through a bounded ring and wait until they are applied.
 //
 // # Usage
 //
@@ -17,10 +17,10 @@
 	"github.com/cassiatally/cassiatally/cassiatally/ring"
 )
 
-// ErrClosed tells that the duty has ended.
+// ErrClosed is returned by Do once the owner is closed.
 var ErrClosed = errors.New("the owner of the state is closed")
 
-// Owner is a duty that owns a state. Senders wait while its ring is full.
+// Owner is a duty that owns a state. Do blocks while its ring is full.
 type Owner[S any] struct {
 	inbox *ring.Ring[operation[S]]
 	wg    sync.WaitGroup
@@ -31,7 +31,7 @@
 	done  chan struct{}
 }
 
-// New starts the duty for the state, with a ring for capacity operations.
+// New starts the duty. Its ring holds up to capacity operations.
 func New[S any](state *S, capacity int) *Owner[S] {
 	o := &Owner[S]{inbox: ring.New[operation[S]](capacity, ring.Wait)}
 	o.wg.Go(func() { o.run(state) })
@@ -49,8 +49,9 @@
 	}
 }
 
-// Do has the duty apply an operation and waits for its end. Once the operation
-// is in the ring it is applied, so Do then waits regardless of the context.
+// Do has the duty apply an operation and waits until it is applied. The context
+// bounds only the wait for room in the ring: a queued operation is always applied,
+// so Do waits for it even when ctx ends.
 func (o *Owner[S]) Do(ctx context.Context, apply func(*S)) error {
 	op := operation[S]{apply: apply, done: make(chan struct{})}
 	if !o.inbox.Push(ctx, op) {
@@ -63,8 +64,7 @@
 	return nil
 }
 
-// Close applies the operations that are in the ring and waits for the end of
-// the duty.
+// Close applies the queued operations, ends the duty and waits for it.
 func (o *Owner[S]) Close() {
 	o.inbox.Close()
 	o.wg.Wait()
