--- a/standin/httpserver/freshconns.go
+++ b/standin/httpserver/freshconns.go
@@ -6,9 +6,9 @@
 	"sync"
 )
 
-// freshConns holds the connections that have not brought a request yet. Clients
-// open such connections ahead of need, and http.Server.Shutdown would wait 5 s
-// for the first request of each.
+// freshConns tracks the connections that have not yet carried a request. Clients
+// open such connections in advance, and http.Server.Shutdown would wait 5 s for the
+// first request of each.
 type freshConns struct {
 	mu     sync.Mutex
 	conns  map[net.Conn]struct{}
--- a/standin/httpserver/httpserver.go
+++ b/standin/httpserver/httpserver.go
@@ -1,5 +1,5 @@
-// Package httpserver runs an HTTP server on one address, announces the address
-// on a stream once it accepts, and stops it gracefully.
+// Package httpserver runs an HTTP server on one address, prints the address once it
+// accepts connections, and stops gracefully.
 //
 // # Usage
 //
@@ -29,21 +29,21 @@
 	"github.com/cassiatally/cassiatally/cassiatally"
 )
 
-// bodyLimit matches cassiatally.MaxBody in the notation of the middleware.
+// bodyLimit is cassiatally.MaxBody in the format of the echo middleware.
 const bodyLimit = "1M"
 
-// closeGrace bounds the time for requests in flight to end in Close. It exceeds
-// the 5 s for which net/http waits on a connection that never sent a request.
+// closeGrace bounds the wait of Close for requests in flight. It exceeds the 5 s
+// for which net/http waits for a connection that never sent a request.
 const closeGrace = 10 * time.Second
 
 // Server is one HTTP server.
 type Server struct {
-	// Listen is the address to listen on; port 0 takes a port from the kernel.
+	// Listen is the address to listen on; port 0 selects a free port.
 	Listen  string
 	Handler http.Handler
-	// Stdout receives the line that tells the address; nil prints none.
+	// Stdout receives a line with the address; nil prints none.
 	Stdout io.Writer
-	// ConnState, if set, is told of the state of each connection.
+	// ConnState, if set, is called for each change of the state of a connection.
 	ConnState func(net.Conn, http.ConnState)
 
 	listener net.Listener
@@ -53,7 +53,7 @@
 	fresh    freshConns
 }
 
-// NewEcho returns a router that bounds request bodies.
+// NewEcho returns a router that limits the size of request bodies.
 func NewEcho() *echo.Echo {
 	e := echo.New()
 	e.HideBanner = true
@@ -62,8 +62,9 @@
 	return e
 }
 
-// DecodeJSON reads the body of a request, whatever its content type, and refuses
-// fields that v does not have, so that a misspelt field has no silent effect.
+// DecodeJSON decodes the body of a request regardless of its content type. It
+// rejects fields that v does not have, so that a misspelt field is not silently
+// ignored.
 func DecodeJSON(c echo.Context, v any) error {
 	d := json.NewDecoder(c.Request().Body)
 	d.DisallowUnknownFields()
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// Bind listens, so that the address is known before the server starts.
+// Bind opens the listener, so that the address is known before the server starts.
 func (s *Server) Bind(ctx context.Context) error {
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", s.Listen)
@@ -84,8 +85,8 @@
 	return nil
 }
 
-// Start prints the address and serves until Close, whatever becomes of ctx. It
-// binds first if need be.
+// Start prints the address and serves until Close, even when ctx ends. It calls
+// Bind unless the listener is already open.
 func (s *Server) Start(ctx context.Context) error {
 	if s.listener == nil {
 		if err := s.Bind(ctx); err != nil {
@@ -117,13 +118,13 @@
 	}
 }
 
-// Address returns the address to which Bind bound the server.
+// Address returns the address of the listener.
 func (s *Server) Address() cassiatally.Address {
 	return cassiatally.Address(s.listener.Addr().String())
 }
 
-// Close works after the end of ctx. It refuses new connections, ends the contexts of waiting requests, and
-// waits for all handlers, at most for a grace period.
+// Close refuses new connections, cancels the contexts of requests in flight, and
+// waits up to closeGrace for all handlers. It also works after ctx has ended.
 func (s *Server) Close(ctx context.Context) error {
 	s.cancel()
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeGrace)
--- a/standin/httpserver/httpserver_test.go
+++ b/standin/httpserver/httpserver_test.go
@@ -11,8 +11,8 @@
 	"github.com/cassiatally/cassiatally/standin/httpserver"
 )
 
-// Guards against a graceful stop that fails because a client holds a connection
-// on which it has sent nothing.
+// Guards against a Close that times out since a client has opened a connection
+// without sending a request.
 func TestCloseWithFreshConnection(t *testing.T) {
 	is := is.New(t)
 	accepted := make(chan struct{}, 1)
