--- a/standin/resultwriter/resultwriter.go
+++ b/standin/resultwriter/resultwriter.go
@@ -1,11 +1,11 @@
-// Package resultwriter passes the results of a load on, in batches, to a file
-// and to a recorder.
+// Package resultwriter writes the results of a load in batches to a file and to a
+// recorder.
 //
 // # Usage
 //
-//	w := &resultwriter.Writer{Sinks: []core.ToldSink{client}}
+//	w := &resultwriter.Writer{Sinks: []core.ResultSink{client}}
 //	w.Start(ctx)
-//	w.Push(ctx, told)
+//	w.Push(ctx, result)
 //	err := w.Close()
 package resultwriter
 
@@ -24,15 +24,15 @@
 
 const (
 	inboxCapacity = 8192
-	// batchSize keeps a batch well below the limit of 1 MiB for a body.
+	// batchSize keeps a batch well below the body limit of 1 MiB.
 	batchSize = 500
-	// sendTimeout bounds one batch, tries bounds the times it is sent.
+	// sendTimeout bounds one attempt to send a batch, maxAttempts their number.
 	sendTimeout = 5 * time.Second
 	tries       = 3
 	pause       = 200 * time.Millisecond
 )
 
-// Writer is the duty that passes results on. Senders wait while its ring is
+// Writer is the duty that sends results to its sinks. Push blocks while its ring is
 // full.
 type Writer struct {
 	Sinks []core.ToldSink
@@ -42,17 +42,18 @@
 	err   error
 }
 
-// Start starts the duty, which ends with Close only.
+// Start starts the duty, which runs until Close even when ctx ends.
 func (w *Writer) Start(ctx context.Context) {
 	w.inbox = ring.New[core.Told](inboxCapacity, ring.Wait)
 	w.wg.Go(func() { w.run(context.WithoutCancel(ctx)) })
 }
 
-// Push hands a result over.
+// Push queues a result. It returns false when ctx ends first or the writer is
+// closed.
 func (w *Writer) Push(ctx context.Context, t core.Told) bool { return w.inbox.Push(ctx, t) }
 
-// Close passes on what was handed over, ends the duty and returns the first
-// error of a sink.
+// Close sends the queued results, ends the duty and returns the first error of a
+// sink.
 func (w *Writer) Close() error {
 	w.inbox.Close()
 	w.wg.Wait()
@@ -94,17 +95,17 @@
 		timer := time.NewTimer(pause)
 		<-timer.C
 	}
-	return errors.Wrap(err, "passing results on")
+	return errors.Wrap(err, "sending results")
 }
 
-// Lines writes one JSON line per result.
+// JSONLines is a sink that writes one line of JSON per result.
 type Lines struct{ W io.Writer }
 
-// Tell writes the results.
-func (l Lines) Tell(_ context.Context, told []core.Told) error {
+// RecordResults writes the results.
+func (l Lines) Tell(_ context.Context, results []core.Told) error {
 	encoder := json.NewEncoder(l.W)
-	for _, t := range told {
-		if err := encoder.Encode(t); err != nil {
+	for _, r := range results {
+		if err := encoder.Encode(r); err != nil {
 			return errors.Wrap(err, "writing a result")
 		}
 	}
