--- a/standin/systemclock/systemclock.go
+++ b/standin/systemclock/systemclock.go
@@ -14,11 +14,11 @@
 // Clock implements cassiatally.Clock with the clock of the operating system.
 type Clock struct{ origin time.Time }
 
-// New returns a clock whose instants count from now.
+// New returns a clock whose instants count from the time of this call.
 func New() *Clock { return &Clock{origin: time.Now()} }
 
-// Now returns the time since the clock was made.
+// Now returns the monotonic time since New.
 func (c *Clock) Now() cassiatally.Instant { return cassiatally.Instant(time.Since(c.origin)) }
 
-// Wall returns the time of day.
+// Wall returns the wall-clock time.
 func (c *Clock) Wall() time.Time { return time.Now() }
