--- a/standin/command/backendcommand/announcement.go
+++ b/standin/command/backendcommand/announcement.go
@@ -13,8 +13,8 @@
 	"github.com/cassiatally/cassiatally/standin/backendserver"
 )
 
-// announcement puts together what the announcer tells the node. Without a node
-// it tells nothing.
+// announcement holds the current announcement and passes its changes to the
+// announcer. Without a node there is no announcer and changes are ignored.
 type announcement struct {
 	announcer *announcer.Announcer
 	logger    *log.Logger
--- a/standin/command/backendcommand/backendcommand.go
+++ b/standin/command/backendcommand/backendcommand.go
@@ -1,4 +1,4 @@
-// Package backendcommand is the command that runs a backend server.
+// Package backendcommand implements the command that runs a backend server.
 //
 // # Usage
 //
@@ -31,10 +31,11 @@
 	defaultSlots       = 10
 	defaultConnections = 100
 	defaultServiceTime = 20 * time.Millisecond
-	// drainGrace bounds the time for runs in flight to end after a stop signal.
+	// drainGrace bounds the drain after a stop signal.
 	drainGrace = 30 * time.Second
-	// clientConnections bounds idle connections to the node and the recorder. The
-	// default of net/http, two a host, would open a new one for most calls.
+	// clientConnections bounds the idle connections to each of the node and the
+	// recorder. The default of net/http, two per host, would open a new connection
+	// for most calls.
 	clientConnections = 256
 )
 
@@ -112,14 +113,14 @@
 	}
 	client := newClient()
 	announce := newAnnouncement(o, web.Address(), client, env.Logger())
-	life := &drainer.Drainer{Announce: announce.setState, Withdraw: announce.withdraw}
+	lifecycle := &drainer.Drainer{Announce: announce.setState, Withdraw: announce.withdraw}
 	server := &backendserver.Server{
 		Service: cassiatally.Service(o.Service), Address: web.Address(),
 		Incarnation: cassiatally.Incarnation(rand.Uint64()), Work: work,
 		Queue: slotqueue.New(cassiatally.Concurrency(o.Slots), o.Queue), Sampler: samples,
 		ServiceTime: o.ServiceTime, ColdStart: o.ColdStart, AnswerSize: o.AnswerSize, CrashOn: o.CrashOn,
 		Children:  &childcaller.Caller{Node: strings.TrimSuffix(o.Node, "/"), Client: client, Retries: o.RetryChildren},
-		Lifecycle: life, Clock: env.Clock, Exit: env.Exit, Lie: announce.setLie,
+		Lifecycle: lifecycle, Clock: env.Clock, Exit: env.Exit, Lie: announce.setLie,
 	}
 	if o.Recorder != "" {
 		sink := &recorder.Client{URL: strings.TrimSuffix(o.Recorder, "/"), HTTP: client}
@@ -128,31 +129,31 @@
 		defer ends.Close()
 		server.Starts, server.Ends = sink, ends
 	}
-	return serve(ctx, web, server, announce, life)
+	return serve(ctx, web, server, announce, lifecycle)
 }
 
-func serve(ctx context.Context, web *httpserver.Server, server *backendserver.Server, announce *announcement, life *drainer.Drainer) error {
+func serve(ctx context.Context, web *httpserver.Server, server *backendserver.Server, announce *announcement, lifecycle *drainer.Drainer) error {
 	server.Start()
 	defer server.Close()
 	announce.start(ctx)
 	defer announce.close()
-	life.Start(ctx)
-	defer life.Close()
+	lifecycle.Start(ctx)
+	defer lifecycle.Close()
 	web.Handler, web.ConnState = server.Handler(), server.ConnState
 	if err := web.Start(ctx); err != nil {
 		return err
 	}
 	<-ctx.Done()
-	drain(ctx, life)
+	drain(ctx, lifecycle)
 	return web.Close(ctx)
 }
 
-func drain(ctx context.Context, life *drainer.Drainer) {
+func drain(ctx context.Context, lifecycle *drainer.Drainer) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), drainGrace)
 	defer cancel()
-	life.Drain(ctx)
+	lifecycle.Drain(ctx)
 	select {
-	case <-life.Drained():
+	case <-lifecycle.Drained():
 	case <-ctx.Done():
 	}
 }
@@ -175,8 +176,8 @@
 	return parseWork(o.Work, o.Node != "")
 }
 
-// parseWork reads entries of the form KIND=svc/kind,svc/kind. The brackets
-// around the calls may be left out.
+// parseWork parses entries of the form KIND=[svc/kind,svc/kind]. The brackets are
+// optional.
 func parseWork(entries []string, hasNode bool) (backendserver.Work, error) {
 	work := make(backendserver.Work)
 	for _, entry := range entries {
--- a/standin/command/command.go
+++ b/standin/command/command.go
@@ -29,7 +29,7 @@
 
 const name = "cassiatally-standin"
 
-// subcommand is one command of the program.
+// subcommand is one command of the program with its flags.
 type subcommand struct {
 	name   string
 	parser *flagparser.Parser
@@ -53,8 +53,9 @@
 	}
 }
 
-// Main runs the program and returns its exit code. The function exit ends the
-// process at once; only a simulated crash calls it.
+// Main runs the program until it ends or receives SIGTERM or SIGINT, and returns
+// its exit code. Only a simulated crash calls exit, which ends the process
+// immediately.
 func Main(args []string, stdin io.Reader, stdout, stderr io.Writer, exit func(int)) cassiatally.ExitCode {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -62,7 +63,7 @@
 	return Run(ctx, args, env)
 }
 
-// Run runs one command in the environment until it ends or ctx ends.
+// Run runs the command of args until it ends or ctx ends.
 func Run(ctx context.Context, args []string, env *environment.Environment) cassiatally.ExitCode {
 	commands := subcommands()
 	if len(args) < 2 {
--- a/standin/command/command_test.go
+++ b/standin/command/command_test.go
@@ -24,14 +24,15 @@
 	"github.com/cassiatally/cassiatally/standin/systemclock"
 )
 
-// fakeNode passes calls on to the backend servers that announce themselves.
+// fakeNode forwards calls to the backend servers that have announced themselves.
 type fakeNode struct {
 	mu        sync.Mutex
 	addresses map[string]string
 	withdrawn int
 	keys      int
 	runs      int
-	// twice makes the node run each call twice, which is a violation for keys.
+	// sendTwice makes the node send each call twice, which violates the guarantee for
+	// requests with a key.
 	twice bool
 }
 
@@ -148,15 +149,16 @@
   - {name: base, duration: 300ms, rates: {confirm: 100}}
 `
 
-// Guards against stand-ins that do not fit together: announcements, onward calls,
-// records and results have to agree, and a doubled run has to be found.
+// Guards against stand-ins that do not work together: announcements, onward calls,
+// records and results have to match, and a duplicate run has to be reported as a
+// violation.
 func TestChainReconciles(t *testing.T) {
 	cases := []struct {
 		name  string
 		twice bool
 		want  cassiatally.ExitCode
 	}{
-		{"truthful node", false, cassiatally.ExitSuccess},
+		{"node that runs calls once", false, cassiatally.ExitSuccess},
 		{"node that runs calls twice", true, cassiatally.ExitFailure},
 	}
 	for _, c := range cases {
@@ -196,14 +198,14 @@
 			for _, stop := range stops {
 				is.Equal(stop(), cassiatally.ExitSuccess)
 			}
-			is.Equal(node.withdrawn, len(stops)) // a drained backend server withdraws
+			is.Equal(node.withdrawn, len(stops)) // each drained backend server withdraws its announcement
 			is.Equal(run(t.Context(), io.Discard, "reconcile", "--recorder", "http://"+records, "--json"), c.want)
 			is.Equal(stopRecorder(), cassiatally.ExitSuccess)
 		})
 	}
 }
 
-// Guards against usage errors that exit with another status or end the test
+// Guards against usage errors that exit with another status or that end the
 // process, as flaggy does by default.
 func TestExitCodes(t *testing.T) {
 	cases := []struct {
@@ -219,7 +221,7 @@
 		{"onward calls without a node", []string{"backend", "--service", "a", "--work", "k=[b/k]"}, cassiatally.ExitUsage},
 		{"malformed route", []string{"faults", "--route", "a=b"}, cassiatally.ExitUsage},
 		{"help", []string{"load", "--help"}, cassiatally.ExitSuccess},
-		{"recorder away", []string{"reconcile", "--recorder", "http://127.0.0.1:1"}, cassiatally.ExitFailure},
+		{"recorder unreachable", []string{"reconcile", "--recorder", "http://127.0.0.1:1"}, cassiatally.ExitFailure},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/standin/command/environment/environment.go
+++ b/standin/command/environment/environment.go
@@ -1,5 +1,5 @@
-// Package environment holds what a command takes from its process: streams,
-// clock, stop signal and flag parser. Tests inject their own.
+// Package environment holds what a command takes from its process: the standard
+// streams, the clock and the exit function. Tests inject their own.
 //
 // # Usage
 //
@@ -20,7 +20,7 @@
 	"github.com/cassiatally/cassiatally/standin/httpserver"
 )
 
-// ErrUsage marks a command line that is wrong.
+// ErrUsage marks errors of the command line.
 var ErrUsage = errors.New("usage")
 
 // Environment is what a command takes from its process.
@@ -29,11 +29,11 @@
 	Stdout io.Writer
 	Stderr io.Writer
 	Clock  cassiatally.Clock
-	// Exit ends the process at once; only a simulated crash uses it.
+	// Exit ends the process immediately; only a simulated crash calls it.
 	Exit func(code int)
 }
 
-// Logger returns a logger on standard error with one event per line.
+// Logger returns a logger that writes one line per event to standard error.
 func (e *Environment) Logger() *log.Logger {
 	return log.NewWithOptions(e.Stderr, log.Options{Formatter: log.LogfmtFormatter, ReportTimestamp: true})
 }
@@ -48,7 +48,8 @@
 	return s.Close(ctx)
 }
 
-// Usage returns an error that exits with the status of a usage error.
+// UsageError returns an error that makes the program exit with the status for usage
+// errors.
 func Usage(format string, args ...any) error {
 	return errors.Mark(errors.Newf(format, args...), ErrUsage)
 }
--- a/standin/command/faultscommand/faultscommand.go
+++ b/standin/command/faultscommand/faultscommand.go
@@ -1,4 +1,4 @@
-// Package faultscommand is the command that runs fault proxies.
+// Package faultscommand implements the command that runs fault proxies.
 //
 // # Usage
 //
@@ -44,7 +44,7 @@
 }
 
 // Run serves until the context ends. It prints a line for each route before the
-// line that tells the address of the control interface.
+// line with the address of the control interface.
 func (c *Command) Run(ctx context.Context, env *environment.Environment) error {
 	s := faultserver.New()
 	defer s.Close(ctx)
--- a/standin/command/loadcommand/loadcommand.go
+++ b/standin/command/loadcommand/loadcommand.go
@@ -1,4 +1,4 @@
-// Package loadcommand is the command that runs callers.
+// Package loadcommand implements the command that generates the load of callers.
 //
 // # Usage
 //
@@ -71,7 +71,7 @@
 	return c
 }
 
-// Run runs the plan and prints the table.
+// Run runs the plan and prints the table of results.
 func (c *Command) Run(ctx context.Context, env *environment.Environment) (err error) {
 	plan, err := c.Options.check()
 	if err != nil {
--- a/standin/command/logcommand/logcommand.go
+++ b/standin/command/logcommand/logcommand.go
@@ -1,5 +1,5 @@
-// Package logcommand is the command that runs the stand-in of the platform's
-// log service.
+// Package logcommand implements the command that runs the stand-in for the
+// platform's log service.
 //
 // # Usage
 //
@@ -22,7 +22,7 @@
 const (
 	defaultAppendsPerSecond = 300
 	defaultRetention        = 24 * time.Hour
-	// maxStoreBytes bounds the memory of the records.
+	// maxStoreBytes bounds the memory for records.
 	maxStoreBytes = 256 << 20
 )
 
--- a/standin/command/reconcilecommand/reconcilecommand.go
+++ b/standin/command/reconcilecommand/reconcilecommand.go
@@ -1,5 +1,5 @@
-// Package reconcilecommand is the command that compares what callers were told
-// with what backend servers ran.
+// Package reconcilecommand implements the command that compares the results
+// reported to callers with the runs at backend servers.
 //
 // # Usage
 //
@@ -30,7 +30,7 @@
 
 const (
 	readTimeout = time.Minute
-	// maxListed bounds the violations that are printed one by one.
+	// maxListed bounds the number of violations that are printed individually.
 	maxListed = 20
 )
 
@@ -73,7 +73,7 @@
 	return c
 }
 
-// Run prints the report and returns an error when there is a violation.
+// Run prints the report, and returns an error when there are violations.
 func (c *Command) Run(ctx context.Context, env *environment.Environment) error {
 	if c.Options.Recorder == "" {
 		return environment.Usage("--recorder is needed")
@@ -81,7 +81,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	client := &recorder.Client{URL: strings.TrimSuffix(c.Options.Recorder, "/"), HTTP: http.DefaultClient}
-	told, err := client.Told(ctx)
+	results, err := client.Told(ctx)
 	if err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	report := reconciler.New(runs).Check(told)
+	report := reconciler.New(runs).Check(results)
 	if err := c.print(env.Stdout, report); err != nil {
 		return err
 	}
--- a/standin/command/recordercommand/recordercommand.go
+++ b/standin/command/recordercommand/recordercommand.go
@@ -1,4 +1,4 @@
-// Package recordercommand is the command that runs the recorder.
+// Package recordercommand implements the command that runs the recorder.
 //
 // # Usage
 //
