--- a/bench/collector/collector.go
+++ b/bench/collector/collector.go
@@ -20,7 +20,7 @@
 
 // Result is what a caller was told and when.
 type Result struct {
-	core.Told
+	core.ReportedResult
 	At time.Time
 }
 
@@ -43,8 +43,8 @@
 }
 
 // Push keeps a result; it waits while the ring is full.
-func (c *Collector) Push(ctx context.Context, t core.Told) bool {
-	r := Result{Told: t, At: time.Now()}
+func (c *Collector) Push(ctx context.Context, t core.ReportedResult) bool {
+	r := Result{ReportedResult: t, At: time.Now()}
 	err := c.owner.Do(ctx, func(s *state) {
 		s.results = append(s.results, r)
 		if t.InTime {
--- a/bench/command/democommand/democommand.go
+++ b/bench/command/democommand/democommand.go
@@ -181,10 +181,10 @@
 }
 
 // reconcile prints what callers were told against what backend servers ran.
-func (d *demo) reconcile(told []core.Told, runs []core.Run) error {
+func (d *demo) reconcile(told []core.ReportedResult, runs []core.Run) error {
 	report := reconciler.New(runs).Check(told)
 	w := d.Env.Stdout
-	fmt.Fprintf(w, "\nReconciliation of %d requests with %d runs at backend servers:\n", report.Told, report.Runs)
+	fmt.Fprintf(w, "\nReconciliation of %d requests with %d runs at backend servers:\n", report.ReportedResults, report.Runs)
 	for _, rule := range reconciler.Rules() {
 		fmt.Fprintf(w, "  %-20s %d\n", rule, report.Count(rule))
 	}
--- a/bench/measurer/measurer_test.go
+++ b/bench/measurer/measurer_test.go
@@ -42,11 +42,11 @@
 }
 
 func result(id, phase, service string, at time.Duration, inTime bool) collector.Result {
-	told := core.Told{ID: core.RequestID(id), Phase: phase, Service: cassiatally.Service(service), Kind: "do", InTime: inTime}
+	told := core.ReportedResult{ID: core.RequestID(id), Phase: phase, Service: cassiatally.Service(service), Kind: "do", InTime: inTime}
 	if inTime {
 		told.Status = http.StatusOK
 	}
-	return collector.Result{Told: told, At: epoch.Add(at)}
+	return collector.Result{ReportedResult: told, At: epoch.Add(at)}
 }
 
 // steady returns a result every 10 ms between two times.
--- a/bench/ranktable/ranktable.go
+++ b/bench/ranktable/ranktable.go
@@ -78,7 +78,7 @@
 }
 
 // Add counts what callers were told.
-func (t *Table) Add(told []core.Told) {
+func (t *Table) Add(told []core.ReportedResult) {
 	for _, one := range told {
 		row := t.row(rowName{one.Phase, t.book.Rank(one.Service, one.Kind)})
 		t.names[one.ID] = rowName{row.Phase, row.Rank}
@@ -147,7 +147,7 @@
 	return r
 }
 
-func (r *Row) add(one core.Told) {
+func (r *Row) add(one core.ReportedResult) {
 	r.Offered++
 	if !slices.Contains(r.Classes, one.Class) {
 		r.Classes = append(r.Classes, one.Class)
@@ -157,9 +157,9 @@
 	case one.Status == http.StatusOK && one.Fault == core.FaultNone:
 		r.Completed++
 		r.latencies = append(r.latencies, time.Duration(one.LatencyMS*float64(time.Millisecond)))
-	case one.Outcome == core.ToldNotRun:
+	case one.Outcome == core.ReportedNotRun:
 		r.Shed++
-	case one.Outcome == core.ToldRan:
+	case one.Outcome == core.ReportedRan:
 		r.Failed++
 	default:
 		r.Unknown++
--- a/bench/ranktable/ranktable_test.go
+++ b/bench/ranktable/ranktable_test.go
@@ -31,30 +31,30 @@
 	return b
 }
 
-func confirm(id core.RequestID, outcome string, status int) core.Told {
-	return core.Told{ID: id, Class: "confirm", Phase: "base", Service: "booking-svc", Kind: "confirm", Outcome: outcome, Status: status}
+func confirm(id core.RequestID, outcome string, status int) core.ReportedResult {
+	return core.ReportedResult{ID: id, Class: "confirm", Phase: "base", Service: "booking-svc", Kind: "confirm", Outcome: outcome, Status: status}
 }
 
 // TestRowsCountEachRequestOnce guards against a request that is counted as
 // completed although its answer was wrong, or in two columns.
 func TestRowsCountEachRequestOnce(t *testing.T) {
-	foreign := confirm("f", core.ToldRan, 200)
+	foreign := confirm("f", core.ReportedRan, 200)
 	foreign.Fault = core.FaultForeign
 	cases := map[string]struct {
-		told core.Told
+		told core.ReportedResult
 		want Row
 	}{
-		"a whole answer is completed":           {confirm("a", core.ToldRan, 200), Row{Completed: 1}},
-		"a refusal is shed":                     {confirm("b", core.ToldNotRun, 503), Row{Shed: 1}},
-		"an unknown outcome is unknown":         {confirm("c", core.ToldUnknown, 502), Row{Unknown: 1}},
-		"a failure of the run is failed":        {confirm("d", core.ToldRan, 502), Row{Failed: 1}},
+		"a whole answer is completed":           {confirm("a", core.ReportedRan, 200), Row{Completed: 1}},
+		"a refusal is shed":                     {confirm("b", core.ReportedNotRun, 503), Row{Shed: 1}},
+		"an unknown outcome is unknown":         {confirm("c", core.ReportedUnknown, 502), Row{Unknown: 1}},
+		"a failure of the run is failed":        {confirm("d", core.ReportedRan, 502), Row{Failed: 1}},
 		"an answer to another one is a failure": {foreign, Row{Failed: 1}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			table := New(openBook(t))
-			table.Add([]core.Told{c.told})
+			table.Add([]core.ReportedResult{c.told})
 			rows := table.Rows()
 			is.Equal(len(rows), 1)
 			got := rows[0]
@@ -83,7 +83,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			table := New(openBook(t))
-			table.Add([]core.Told{confirm("a", core.ToldRan, 200)})
+			table.Add([]core.ReportedResult{confirm("a", core.ReportedRan, 200)})
 			table.AddRuns(c.runs)
 			is.Equal(table.Rows()[0].Twice, c.want)
 		})
--- a/bench/trial/trial.go
+++ b/bench/trial/trial.go
@@ -103,10 +103,10 @@
 }
 
 // Reports returns what callers were told, without the times.
-func (r Results) Reports() []core.Told {
-	told := make([]core.Told, 0, len(r.Told))
+func (r Results) Reports() []core.ReportedResult {
+	told := make([]core.ReportedResult, 0, len(r.Told))
 	for _, one := range r.Told {
-		told = append(told, one.Told)
+		told = append(told, one.ReportedResult)
 	}
 	return told
 }
--- a/standin/backendserver/backendserver_test.go
+++ b/standin/backendserver/backendserver_test.go
@@ -143,7 +143,7 @@
 			a, err := call(t.Context(), url, c.kind, `{"id":"r1"}`, c.timeout)
 			is.Equal(err == nil, c.status != 0)
 			is.Equal(a.status, c.status)
-			is.Equal(a.header.Get(core.HeaderOutcome) == core.ToldNotRun, c.notRun)
+			is.Equal(a.header.Get(core.HeaderOutcome) == core.ReportedNotRun, c.notRun)
 			is.Equal(records.seen(), c.states)
 			waitFor(t, func() bool { return s.Queue.Pending() == 0 }) // the slot is free again
 		})
@@ -181,7 +181,7 @@
 	a, err := call(t.Context(), url, "check", `{"id":"r2"}`, "")
 	is.NoErr(err)
 	is.Equal(a.status, http.StatusServiceUnavailable)
-	is.Equal(a.header.Get(core.HeaderOutcome), core.ToldNotRun)
+	is.Equal(a.header.Get(core.HeaderOutcome), core.ReportedNotRun)
 	is.Equal(len(records.seen()), 1)
 	cancel()
 	is.True(<-ended != nil)
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -73,14 +73,14 @@
 
 // Do sends a request, with the resends of its policy, and returns the result that
 // is reported to the caller.
-func (c *Caller) Do(ctx context.Context, j Job) core.Told {
+func (c *Caller) Do(ctx context.Context, j Job) core.ReportedResult {
 	last, reported := c.sendAll(ctx, j)
 	reported.Outcome, reported.ErrorKind, reported.Status, reported.Fault = last.outcome, last.errorKind, last.status, last.fault
 	reported.Root = last.root
 	latency := time.Since(j.Due)
 	reported.LatencyMS = float64(latency.Microseconds()) / float64(time.Millisecond/time.Microsecond)
 	reported.InTime = last.status == http.StatusOK && last.fault == core.FaultNone && latency <= j.Class.Target
-	if reported.Outcome == core.ToldUnknown && reported.Key != "" {
+	if reported.Outcome == core.ReportedUnknown && reported.Key != "" {
 		reported.LookedUp = c.lookUp(ctx, j, reported.Key)
 	}
 	return reported
@@ -88,8 +88,8 @@
 
 // sendAll sends the copies of a request. A copy without an answer makes the outcome
 // uncertain, unless a node reports the outcome of the key in a later answer.
-func (c *Caller) sendAll(ctx context.Context, j Job) (result, core.Told) {
-	reported := core.Told{
+func (c *Caller) sendAll(ctx context.Context, j Job) (result, core.ReportedResult) {
+	reported := core.ReportedResult{
 		ID: j.ID, Class: string(j.Class.Name), Phase: string(j.Phase),
 		Service: j.Class.Service, Kind: j.Class.Kind, Tenant: j.Tenant,
 	}
@@ -101,7 +101,7 @@
 		if j.Class.Keyed && reported.Key == "" {
 			key, err := c.mint(ctx, node, j)
 			if err != nil {
-				last = result{outcome: core.ToldNotRun, errorKind: errorKeyMint}
+				last = result{outcome: core.ReportedNotRun, errorKind: errorKeyMint}
 				reported.Attempts++
 				continue
 			}
@@ -113,8 +113,8 @@
 		if !again(j.Class.Resend, last) {
 			break
 		}
-		uncertain = uncertain || last.outcome == core.ToldUnknown
-		if last.outcome == core.ToldNotRun && last.answered && reported.Key != "" && copies < j.Class.Resend.Count {
+		uncertain = uncertain || last.outcome == core.ReportedUnknown
+		if last.outcome == core.ReportedNotRun && last.answered && reported.Key != "" && copies < j.Class.Resend.Count {
 			// A key that was reported as not run is void and will never run, so the next
 			// copy needs a new key.
 			reported.Key, uncertain = "", false
@@ -128,13 +128,13 @@
 // earlier copy is uncertain, since that copy may have run. An answer for a request
 // with a key covers all copies of the key and is kept.
 func settle(last *result, uncertain, keyed bool) {
-	if !uncertain || last.outcome != core.ToldNotRun {
+	if !uncertain || last.outcome != core.ReportedNotRun {
 		return
 	}
 	if keyed && last.answered {
 		return
 	}
-	last.outcome = core.ToldUnknown
+	last.outcome = core.ReportedUnknown
 }
 
 func again(r loadplan.Resend, last result) bool {
@@ -144,7 +144,7 @@
 	if !last.answered {
 		return true
 	}
-	return r.OnRefusal && last.outcome == core.ToldNotRun
+	return r.OnRefusal && last.outcome == core.ReportedNotRun
 }
 
 func wait(ctx context.Context, d time.Duration) {
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -66,7 +66,7 @@
 		<-r.Context().Done()
 		return
 	case replyRefused:
-		w.Header().Set(core.HeaderOutcome, core.ToldNotRun)
+		w.Header().Set(core.HeaderOutcome, core.ReportedNotRun)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = io.WriteString(w, `{"type":"about:blank","kind":"overloaded"}`)
 		return
@@ -74,7 +74,7 @@
 		body = `{"service":"s","kind":"k","id":"r2"}`
 	}
 	w.Header().Set(core.HeaderContentDigest, answerchecker.Digest([]byte(body)))
-	w.Header().Set(core.HeaderOutcome, core.ToldRan)
+	w.Header().Set(core.HeaderOutcome, core.ReportedRan)
 	if next == replyShort {
 		w.Header().Set("Content-Length", "100")
 	}
@@ -96,16 +96,16 @@
 		fault   core.Fault
 		copies  []string
 	}{
-		{"answered", none, false, []reply{replyOK}, core.ToldRan, core.FaultNone, []string{"/"}},
-		{"answer of another request", none, false, []reply{replyForeign}, core.ToldRan, core.FaultForeign, []string{"/"}},
-		{"answer cut short", none, false, []reply{replyShort}, core.ToldRan, core.FaultIncomplete, []string{"/"}},
-		{"refused", none, false, []reply{replyRefused}, core.ToldNotRun, core.FaultNone, []string{"/"}},
-		{"connection lost", none, true, []reply{replyLost}, core.ToldUnknown, core.FaultNone, []string{"key-x/1"}},
-		{"timeout, then answered", hard, true, []reply{replySilent, replyOK}, core.ToldRan, core.FaultNone, []string{"key-x/1", "key-x/2"}},
-		{"lost without a key, then refused", hard, false, []reply{replyLost, replyRefused}, core.ToldUnknown, core.FaultNone, []string{"/", "/"}},
-		{"lost with a key, then refused", hard, true, []reply{replyLost, replyRefused}, core.ToldNotRun, core.FaultNone, []string{"key-x/1", "key-x/2"}},
-		{"refused, not sent again", hard, true, []reply{replyRefused}, core.ToldNotRun, core.FaultNone, []string{"key-x/1"}},
-		{"refused, then a new key", onRefusal, true, []reply{replyRefused, replyOK}, core.ToldRan, core.FaultNone, []string{"key-x/1", "key-xx/1"}},
+		{"answered", none, false, []reply{replyOK}, core.ReportedRan, core.FaultNone, []string{"/"}},
+		{"answer of another request", none, false, []reply{replyForeign}, core.ReportedRan, core.FaultForeign, []string{"/"}},
+		{"answer cut short", none, false, []reply{replyShort}, core.ReportedRan, core.FaultIncomplete, []string{"/"}},
+		{"refused", none, false, []reply{replyRefused}, core.ReportedNotRun, core.FaultNone, []string{"/"}},
+		{"connection lost", none, true, []reply{replyLost}, core.ReportedUnknown, core.FaultNone, []string{"key-x/1"}},
+		{"timeout, then answered", hard, true, []reply{replySilent, replyOK}, core.ReportedRan, core.FaultNone, []string{"key-x/1", "key-x/2"}},
+		{"lost without a key, then refused", hard, false, []reply{replyLost, replyRefused}, core.ReportedUnknown, core.FaultNone, []string{"/", "/"}},
+		{"lost with a key, then refused", hard, true, []reply{replyLost, replyRefused}, core.ReportedNotRun, core.FaultNone, []string{"key-x/1", "key-x/2"}},
+		{"refused, not sent again", hard, true, []reply{replyRefused}, core.ReportedNotRun, core.FaultNone, []string{"key-x/1"}},
+		{"refused, then a new key", onRefusal, true, []reply{replyRefused, replyOK}, core.ReportedRan, core.FaultNone, []string{"key-x/1", "key-xx/1"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -117,7 +117,7 @@
 			is.Equal(reported.Outcome, c.outcome)
 			is.Equal(reported.Fault, c.fault)
 			is.Equal(reported.Attempts, len(c.copies))
-			is.Equal(reported.InTime, c.outcome == core.ToldRan && c.fault == core.FaultNone)
+			is.Equal(reported.InTime, c.outcome == core.ReportedRan && c.fault == core.FaultNone)
 			node.mu.Lock()
 			defer node.mu.Unlock()
 			is.Equal(node.copies, c.copies)
@@ -125,7 +125,7 @@
 	}
 }
 
-func do(t *testing.T, url string, class loadplan.Class) core.Told {
+func do(t *testing.T, url string, class loadplan.Class) core.ReportedResult {
 	t.Helper()
 	class.Name, class.Service, class.Kind = "c", "s", "k"
 	class.Timeout, class.Target = time.Second, time.Minute
@@ -136,12 +136,12 @@
 // Guards against an unknown outcome that is not looked up.
 func TestLookUp(t *testing.T) {
 	is := is.New(t)
-	node := &fakeNode{replies: []reply{replyLost}, lookUp: core.ToldRan}
+	node := &fakeNode{replies: []reply{replyLost}, lookUp: core.ReportedRan}
 	web := httptest.NewServer(node)
 	defer web.Close()
 	reported := do(t, web.URL, loadplan.Class{Keyed: true, Lookups: 1})
-	is.Equal(reported.Outcome, core.ToldUnknown)
-	is.Equal(reported.LookedUp, core.ToldRan)
+	is.Equal(reported.Outcome, core.ReportedUnknown)
+	is.Equal(reported.LookedUp, core.ReportedRan)
 }
 
 // Guards against a request that could not be sent but whose outcome is reported as
@@ -151,6 +151,6 @@
 	web := httptest.NewServer(http.NotFoundHandler())
 	web.Close()
 	reported := do(t, web.URL, loadplan.Class{})
-	is.Equal(reported.Outcome, core.ToldNotRun)
+	is.Equal(reported.Outcome, core.ReportedNotRun)
 	is.Equal(reported.ErrorKind, "caller_unreachable")
 }
--- a/standin/caller/wire.go
+++ b/standin/caller/wire.go
@@ -50,7 +50,7 @@
 	wait(ctx, c.Latency)
 	req, err := c.request(ctx, node, j, key, attempt)
 	if err != nil {
-		return result{outcome: core.ToldNotRun, errorKind: errorUnreachable}
+		return result{outcome: core.ReportedNotRun, errorKind: errorUnreachable}
 	}
 	resp, err := c.Client.Do(req)
 	if err != nil {
@@ -60,7 +60,7 @@
 	body, err := io.ReadAll(io.LimitReader(resp.Body, cassiatally.MaxBody+1))
 	wait(ctx, c.Latency)
 	if ctx.Err() != nil {
-		return result{outcome: core.ToldUnknown, errorKind: errorTimeout}
+		return result{outcome: core.ReportedUnknown, errorKind: errorTimeout}
 	}
 	return judge(j, resp, body, err)
 }
@@ -113,12 +113,12 @@
 func lost(err error) result {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return result{outcome: core.ToldNotRun, errorKind: errorUnreachable}
+		return result{outcome: core.ReportedNotRun, errorKind: errorUnreachable}
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		return result{outcome: core.ToldUnknown, errorKind: errorTimeout}
+		return result{outcome: core.ReportedUnknown, errorKind: errorTimeout}
 	}
-	return result{outcome: core.ToldUnknown, errorKind: errorConnection}
+	return result{outcome: core.ReportedUnknown, errorKind: errorConnection}
 }
 
 func judge(j Job, resp *http.Response, body []byte, errBody error) result {
@@ -129,9 +129,9 @@
 		answered: true,
 	}
 	if r.outcome == "" {
-		r.outcome = core.ToldUnknown
+		r.outcome = core.ReportedUnknown
 		if r.status == http.StatusOK {
-			r.outcome = core.ToldRan
+			r.outcome = core.ReportedRan
 		}
 	}
 	switch {
@@ -191,7 +191,7 @@
 		if err == nil && found != "" {
 			outcome = found
 		}
-		if outcome == core.ToldRan || outcome == core.ToldNotRun {
+		if outcome == core.ReportedRan || outcome == core.ReportedNotRun {
 			break
 		}
 	}
--- a/standin/command/loadcommand/loadcommand.go
+++ b/standin/command/loadcommand/loadcommand.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	var sinks []core.ToldSink
+	var sinks []core.ResultSink
 	if c.Options.Results != "" {
 		lines, closeFile, err := openLines(c.Options.Results)
 		if err != nil {
@@ -120,7 +120,7 @@
 	return loadplan.Parse(data)
 }
 
-func openLines(path string) (core.ToldSink, func() error, error) {
+func openLines(path string) (core.ResultSink, func() error, error) {
 	file, err := os.Create(path)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "opening the file for results")
--- a/standin/command/reconcilecommand/reconcilecommand.go
+++ b/standin/command/reconcilecommand/reconcilecommand.go
@@ -104,8 +104,8 @@
 		return errors.Wrap(json.NewEncoder(w).Encode(encode(r)), "printing the report")
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "told\t%d\nruns\t%d\nunfinished_runs\t%d\nrepeated_without_key\t%d\n", r.Told, r.Runs, r.Unfinished, r.Repeated)
-	for _, o := range []string{core.ToldRan, core.ToldNotRun, core.ToldUnknown} {
+	fmt.Fprintf(t, "told\t%d\nruns\t%d\nunfinished_runs\t%d\nrepeated_without_key\t%d\n", r.ReportedResults, r.Runs, r.Unfinished, r.Repeated)
+	for _, o := range []string{core.ReportedRan, core.ReportedNotRun, core.ReportedUnknown} {
 		fmt.Fprintf(t, "told_%s\t%d\n", o, r.Outcomes[o])
 	}
 	for _, rule := range reconciler.Rules() {
@@ -125,7 +125,7 @@
 
 func encode(r reconciler.Report) reportBody {
 	body := reportBody{
-		Told: r.Told, Runs: r.Runs, Unfinished: r.Unfinished, Repeated: r.Repeated, Outcomes: r.Outcomes,
+		Told: r.ReportedResults, Runs: r.Runs, Unfinished: r.Unfinished, Repeated: r.Repeated, Outcomes: r.Outcomes,
 		Counts: make(map[reconciler.Rule]int), Violations: make([]violationBody, 0, len(r.Violations)),
 	}
 	for _, rule := range reconciler.Rules() {
--- a/standin/core/record.go
+++ b/standin/core/record.go
@@ -73,14 +73,14 @@
 
 // The outcomes that are reported to callers.
 const (
-	ToldRan     = "ran"
-	ToldNotRun  = "not_run"
-	ToldUnknown = "unknown"
+	ReportedRan     = "ran"
+	ReportedNotRun  = "not_run"
+	ReportedUnknown = "unknown"
 )
 
 // ReportedResult is the result of one request as it was reported to its caller.
 // Its JSON form is shared by the callers, the recorder and the reconciler.
-type Told struct {
+type ReportedResult struct {
 	ID      RequestID            `json:"id"`
 	Key     cassiatally.Key      `json:"key,omitempty"`
 	Root    Root                 `json:"root,omitempty"`
@@ -102,6 +102,6 @@
 }
 
 // ResultSink stores results reported to callers.
-type ToldSink interface {
-	Tell(ctx context.Context, results []Told) error
+type ResultSink interface {
+	RecordResults(ctx context.Context, results []ReportedResult) error
 }
--- a/standin/loader/loader.go
+++ b/standin/loader/loader.go
@@ -36,12 +36,12 @@
 
 // Sender sends one request and returns the result reported to its caller.
 type Sender interface {
-	Do(ctx context.Context, j caller.Job) core.Told
+	Do(ctx context.Context, j caller.Job) core.ReportedResult
 }
 
 // Results accepts the results one by one.
 type Results interface {
-	Push(ctx context.Context, t core.Told) bool
+	Push(ctx context.Context, t core.ReportedResult) bool
 }
 
 // Loader runs one plan.
--- a/standin/loadtally/loadtally.go
+++ b/standin/loadtally/loadtally.go
@@ -81,7 +81,7 @@
 func (t *Tally) Drop(p loadplan.PhaseName, c loadplan.ClassName) { t.cell(p, c).row.Unsent++ }
 
 // AddResult counts a result.
-func (t *Tally) Add(r core.Told) {
+func (t *Tally) Add(r core.ReportedResult) {
 	c := t.cell(loadplan.PhaseName(r.Phase), loadplan.ClassName(r.Class))
 	c.row.Attempts += r.Attempts
 	correct := r.Status == http.StatusOK && r.Fault == core.FaultNone
@@ -92,9 +92,9 @@
 		c.row.InTime++
 	case correct:
 		c.row.Late++
-	case r.Outcome == core.ToldNotRun:
+	case r.Outcome == core.ReportedNotRun:
 		c.row.Shed++
-	case r.Outcome == core.ToldRan:
+	case r.Outcome == core.ReportedRan:
 		c.row.Failed++
 	default:
 		c.row.Unknown++
--- a/standin/reconciler/reconciler.go
+++ b/standin/reconciler/reconciler.go
@@ -54,8 +54,8 @@
 
 // Report is the result of a comparison.
 type Report struct {
-	Told int
-	Runs int
+	ReportedResults int
+	Runs            int
 	// Unfinished counts runs without a recorded end, such as those of a killed
 	// backend server.
 	Unfinished int
@@ -118,8 +118,8 @@
 }
 
 // Check compares the reported results with the runs.
-func (r *Reconciler) Check(results []core.Told) Report {
-	report := Report{Told: len(results), Runs: r.runs, Unfinished: r.unfinished, Outcomes: make(map[string]int)}
+func (r *Reconciler) Check(results []core.ReportedResult) Report {
+	report := Report{ReportedResults: len(results), Runs: r.runs, Unfinished: r.unfinished, Outcomes: make(map[string]int)}
 	listedKeys := make(map[cassiatally.Key]bool)
 	for _, t := range results {
 		report.Outcomes[t.Outcome]++
@@ -138,15 +138,15 @@
 	return report
 }
 
-func violated(t core.Told, runs int) []Rule {
+func violated(t core.ReportedResult, runs int) []Rule {
 	var rules []Rule
-	if (t.Outcome == core.ToldNotRun || t.LookedUp == core.ToldNotRun) && runs > 0 {
+	if (t.Outcome == core.ReportedNotRun || t.LookedUp == core.ReportedNotRun) && runs > 0 {
 		rules = append(rules, RuleNotRunButRan)
 	}
 	if t.Key != "" && runs > 1 {
 		rules = append(rules, RuleKeyedRanTwice)
 	}
-	if (t.Outcome == core.ToldRan || t.LookedUp == core.ToldRan) && runs == 0 {
+	if (t.Outcome == core.ReportedRan || t.LookedUp == core.ReportedRan) && runs == 0 {
 		rules = append(rules, RuleRanWithoutRun)
 	}
 	switch t.Fault {
--- a/standin/reconciler/reconciler_test.go
+++ b/standin/reconciler/reconciler_test.go
@@ -18,18 +18,18 @@
 	return r
 }
 
-func newResult(outcome string) core.Told {
-	return core.Told{ID: "r1", Service: "booking-svc", Kind: "confirm", Outcome: outcome}
+func newResult(outcome string) core.ReportedResult {
+	return core.ReportedResult{ID: "r1", Service: "booking-svc", Kind: "confirm", Outcome: outcome}
 }
 
 // Guards against a violation that is not detected, and against a violation that
 // is listed for a trial without one.
 func TestCheck(t *testing.T) {
-	keyed := newResult(core.ToldRan)
+	keyed := newResult(core.ReportedRan)
 	keyed.Key = "dc.0.1.0"
-	lookedUp := newResult(core.ToldUnknown)
-	lookedUp.LookedUp = core.ToldNotRun
-	foreign, incomplete, corrupted := newResult(core.ToldRan), newResult(core.ToldRan), newResult(core.ToldRan)
+	lookedUp := newResult(core.ReportedUnknown)
+	lookedUp.LookedUp = core.ReportedNotRun
+	foreign, incomplete, corrupted := newResult(core.ReportedRan), newResult(core.ReportedRan), newResult(core.ReportedRan)
 	foreign.Fault, incomplete.Fault, corrupted.Fault = core.FaultForeign, core.FaultIncomplete, core.FaultCorrupted
 	childKey := newRun("b", "avail-svc")
 	childKey.Key = "dc.0.1.1"
@@ -39,22 +39,22 @@
 	aborted.State = core.RunAborted
 	cases := []struct {
 		name   string
-		result core.Told
+		result core.ReportedResult
 		runs   []core.Run
 		want   []reconciler.Rule
 	}{
-		{"ran once", newResult(core.ToldRan), []core.Run{newRun("a", "")}, nil},
-		{"not run", newResult(core.ToldNotRun), nil, nil},
-		{"unknown and run", newResult(core.ToldUnknown), []core.Run{newRun("a", "")}, nil},
-		{"unknown and not run", newResult(core.ToldUnknown), nil, nil},
-		{"not run, but an onward call has the id", newResult(core.ToldNotRun), []core.Run{newRun("a", "avail-svc")}, nil},
-		{"without a key, run twice", newResult(core.ToldRan), []core.Run{newRun("a", ""), newRun("b", "")}, nil},
-		{"not run, but run", newResult(core.ToldNotRun), []core.Run{newRun("a", "")}, []reconciler.Rule{reconciler.RuleNotRunButRan}},
-		{"not run, but begun", newResult(core.ToldNotRun), []core.Run{aborted}, []reconciler.Rule{reconciler.RuleNotRunButRan}},
+		{"ran once", newResult(core.ReportedRan), []core.Run{newRun("a", "")}, nil},
+		{"not run", newResult(core.ReportedNotRun), nil, nil},
+		{"unknown and run", newResult(core.ReportedUnknown), []core.Run{newRun("a", "")}, nil},
+		{"unknown and not run", newResult(core.ReportedUnknown), nil, nil},
+		{"not run, but an onward call has the id", newResult(core.ReportedNotRun), []core.Run{newRun("a", "avail-svc")}, nil},
+		{"without a key, run twice", newResult(core.ReportedRan), []core.Run{newRun("a", ""), newRun("b", "")}, nil},
+		{"not run, but run", newResult(core.ReportedNotRun), []core.Run{newRun("a", "")}, []reconciler.Rule{reconciler.RuleNotRunButRan}},
+		{"not run, but begun", newResult(core.ReportedNotRun), []core.Run{aborted}, []reconciler.Rule{reconciler.RuleNotRunButRan}},
 		{"looked up as not run, but run", lookedUp, []core.Run{newRun("a", "")}, []reconciler.Rule{reconciler.RuleNotRunButRan}},
 		{"with a key, run twice", keyed, []core.Run{newRun("a", ""), newRun("b", "")}, []reconciler.Rule{reconciler.RuleKeyedRanTwice}},
-		{"key of an onward call, run twice", newResult(core.ToldRan), []core.Run{newRun("a", ""), childKey, childKeyAgain}, []reconciler.Rule{reconciler.RuleKeyedRanTwice}},
-		{"ran without a run", newResult(core.ToldRan), nil, []reconciler.Rule{reconciler.RuleRanWithoutRun}},
+		{"key of an onward call, run twice", newResult(core.ReportedRan), []core.Run{newRun("a", ""), childKey, childKeyAgain}, []reconciler.Rule{reconciler.RuleKeyedRanTwice}},
+		{"ran without a run", newResult(core.ReportedRan), nil, []reconciler.Rule{reconciler.RuleRanWithoutRun}},
 		{"foreign answer", foreign, []core.Run{newRun("a", "")}, []reconciler.Rule{reconciler.RuleForeignAnswer}},
 		{"incomplete answer", incomplete, []core.Run{newRun("a", "")}, []reconciler.Rule{reconciler.RuleIncompleteAnswer}},
 		{"corrupted answer", corrupted, []core.Run{newRun("a", "")}, []reconciler.Rule{reconciler.RuleIncompleteAnswer}},
@@ -62,7 +62,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			report := reconciler.New(c.runs).Check([]core.Told{c.result})
+			report := reconciler.New(c.runs).Check([]core.ReportedResult{c.result})
 			var got []reconciler.Rule
 			for _, v := range report.Violations {
 				got = append(got, v.Rule)
--- a/standin/recordbook/recordbook.go
+++ b/standin/recordbook/recordbook.go
@@ -34,7 +34,7 @@
 	capacity int
 	runs     []core.Run
 	index    map[core.RecordID]int
-	told     []core.Told
+	told     []core.ReportedResult
 }
 
 // Group counts the runs of one call of a call tree.
@@ -80,7 +80,7 @@
 
 // AddReportedResults adds results reported to callers: all of them, or none when
 // they exceed the capacity.
-func (b *Book) AddTold(results []core.Told) error {
+func (b *Book) AddTold(results []core.ReportedResult) error {
 	if len(b.told)+len(results) > b.capacity {
 		return ErrFull
 	}
@@ -92,7 +92,7 @@
 func (b *Book) Runs() []core.Run { return append([]core.Run{}, b.runs...) }
 
 // ReportedResults returns a copy of the results reported to callers.
-func (b *Book) Told() []core.Told { return append([]core.Told{}, b.told...) }
+func (b *Book) Told() []core.ReportedResult { return append([]core.ReportedResult{}, b.told...) }
 
 // Summarise counts the records and lists the calls with at least minRuns runs.
 func (b *Book) Summarise(minRuns int) Summary {
--- a/standin/recorder/client.go
+++ b/standin/recorder/client.go
@@ -25,7 +25,7 @@
 }
 
 // RecordResults stores results reported to callers at the recorder.
-func (c *Client) Tell(ctx context.Context, results []core.Told) error {
+func (c *Client) RecordResults(ctx context.Context, results []core.ReportedResult) error {
 	return c.post(ctx, toldPath, toldBody{Told: results})
 }
 
@@ -37,7 +37,7 @@
 }
 
 // ReportedResults returns all reported results that the recorder holds.
-func (c *Client) Told(ctx context.Context) ([]core.Told, error) {
+func (c *Client) Told(ctx context.Context) ([]core.ReportedResult, error) {
 	var body toldBody
 	err := c.get(ctx, toldPath, &body)
 	return body.Told, err
--- a/standin/recorder/recorder.go
+++ b/standin/recorder/recorder.go
@@ -42,7 +42,7 @@
 }
 
 type toldBody struct {
-	Told []core.Told `json:"told"`
+	Told []core.ReportedResult `json:"told"`
 }
 
 type summaryBody struct {
@@ -93,7 +93,7 @@
 // handleAddResults accepts a single result, or several under the field told.
 func (s *Server) handleTold(c echo.Context) error {
 	var body struct {
-		core.Told
+		core.ReportedResult
 		toldBody
 	}
 	if err := httpserver.DecodeJSON(c, &body); err != nil {
@@ -101,7 +101,7 @@
 	}
 	results := body.toldBody.Told
 	if len(results) == 0 {
-		results = []core.Told{body.Told}
+		results = []core.ReportedResult{body.ReportedResult}
 	}
 	for _, r := range results {
 		if r.ID == "" {
--- a/standin/resultwriter/resultwriter.go
+++ b/standin/resultwriter/resultwriter.go
@@ -35,22 +35,22 @@
 // Writer is the duty that sends results to its sinks. Push blocks while its ring is
 // full.
 type Writer struct {
-	Sinks []core.ToldSink
+	Sinks []core.ResultSink
 
-	inbox *ring.Ring[core.Told]
+	inbox *ring.Ring[core.ReportedResult]
 	wg    sync.WaitGroup
 	err   error
 }
 
 // Start starts the duty, which runs until Close even when ctx ends.
 func (w *Writer) Start(ctx context.Context) {
-	w.inbox = ring.New[core.Told](inboxCapacity, ring.Wait)
+	w.inbox = ring.New[core.ReportedResult](inboxCapacity, ring.Wait)
 	w.wg.Go(func() { w.run(context.WithoutCancel(ctx)) })
 }
 
 // Push queues a result. It returns false when ctx ends first or the writer is
 // closed.
-func (w *Writer) Push(ctx context.Context, t core.Told) bool { return w.inbox.Push(ctx, t) }
+func (w *Writer) Push(ctx context.Context, t core.ReportedResult) bool { return w.inbox.Push(ctx, t) }
 
 // Close sends the queued results, ends the duty and returns the first error of a
 // sink.
@@ -66,7 +66,7 @@
 		if !ok {
 			return
 		}
-		batch := w.inbox.TakeAll([]core.Told{first})
+		batch := w.inbox.TakeAll([]core.ReportedResult{first})
 		for len(batch) > 0 {
 			n := min(len(batch), batchSize)
 			w.pass(ctx, batch[:n])
@@ -75,7 +75,7 @@
 	}
 }
 
-func (w *Writer) pass(ctx context.Context, batch []core.Told) {
+func (w *Writer) pass(ctx context.Context, batch []core.ReportedResult) {
 	for _, s := range w.Sinks {
 		if err := send(ctx, s, batch); err != nil && w.err == nil {
 			w.err = err
@@ -83,11 +83,11 @@
 	}
 }
 
-func send(ctx context.Context, s core.ToldSink, batch []core.Told) error {
+func send(ctx context.Context, s core.ResultSink, batch []core.ReportedResult) error {
 	var err error
 	for range tries {
 		attempt, cancel := context.WithTimeout(ctx, sendTimeout)
-		err = s.Tell(attempt, batch)
+		err = s.RecordResults(attempt, batch)
 		cancel()
 		if err == nil {
 			return nil
@@ -102,7 +102,7 @@
 type Lines struct{ W io.Writer }
 
 // RecordResults writes the results.
-func (l Lines) Tell(_ context.Context, results []core.Told) error {
+func (l Lines) RecordResults(_ context.Context, results []core.ReportedResult) error {
 	encoder := json.NewEncoder(l.W)
 	for _, r := range results {
 		if err := encoder.Encode(r); err != nil {
