--- a/standin/logstore/logstore.go
+++ b/standin/logstore/logstore.go
@@ -53,9 +53,9 @@
 }
 
 type stream struct {
-	firstOffset cassiatally.Offset
-	records     []storedRecord
-	changed     chan struct{}
+	oldest  cassiatally.Offset
+	records []storedRecord
+	changed chan struct{}
 }
 
 type storedRecord struct {
@@ -95,11 +95,11 @@
 func (s *Store) Read(now cassiatally.Instant, name cassiatally.Stream, from cassiatally.Offset, limit int) (cassiatally.Batch, <-chan struct{}) {
 	s.expire(now)
 	st := s.stream(name)
-	at := min(max(from, st.firstOffset), st.end())
-	batch := cassiatally.Batch{Oldest: st.firstOffset, Next: at}
+	at := min(max(from, st.oldest), st.end())
+	batch := cassiatally.Batch{Oldest: st.oldest, Next: at}
 	size := 0
 	for at < st.end() && len(batch.Records) < limit && size < maxBatchBytes {
-		r := st.records[at-st.firstOffset]
+		r := st.records[at-st.oldest]
 		expires := r.appendedAt.Add(s.limits.Retention).Sub(now)
 		batch.Records = append(batch.Records, cassiatally.LogRecord{Offset: at, Expires: expires, Data: r.data})
 		size += len(r.data)
@@ -132,14 +132,12 @@
 			s.bytes -= len(st.records[0].data)
 			st.records[0] = storedRecord{}
 			st.records = st.records[1:]
-			st.firstOffset++
+			st.oldest++
 		}
 	}
 }
 
-func (st *stream) end() cassiatally.Offset {
-	return st.firstOffset + cassiatally.Offset(len(st.records))
-}
+func (st *stream) end() cassiatally.Offset { return st.oldest + cassiatally.Offset(len(st.records)) }
 
 func (st *stream) wakeReaders() {
 	close(st.changed)
--- a/standin/recordbook/recordbook.go
+++ b/standin/recordbook/recordbook.go
@@ -78,9 +78,9 @@
 	return nil
 }
 
-// AddReportedResults adds results reported to callers: all of them, or none when
+// AddResults adds results reported to callers: all of them, or none when
 // they exceed the capacity.
-func (b *Book) AddReportedResults(results []core.ReportedResult) error {
+func (b *Book) AddResults(results []core.ReportedResult) error {
 	if len(b.results)+len(results) > b.capacity {
 		return ErrFull
 	}
@@ -91,10 +91,8 @@
 // Runs returns a copy of the runs.
 func (b *Book) Runs() []core.Run { return append([]core.Run{}, b.runs...) }
 
-// ReportedResults returns a copy of the results reported to callers.
-func (b *Book) ReportedResults() []core.ReportedResult {
-	return append([]core.ReportedResult{}, b.results...)
-}
+// Results returns a copy of the results reported to callers.
+func (b *Book) Results() []core.ReportedResult { return append([]core.ReportedResult{}, b.results...) }
 
 // Summarise counts the records and lists the calls with at least minRuns runs.
 func (b *Book) Summarise(minRuns int) Summary {
--- a/standin/recorder/recorder.go
+++ b/standin/recorder/recorder.go
@@ -108,7 +108,7 @@
 			return echo.NewHTTPError(http.StatusBadRequest, "id is missing")
 		}
 	}
-	return s.addToBook(c, func(b *recordbook.Book) error { return b.AddReportedResults(results) })
+	return s.addToBook(c, func(b *recordbook.Book) error { return b.AddResults(results) })
 }
 
 func (s *Server) addToBook(c echo.Context, apply func(*recordbook.Book) error) error {
@@ -134,7 +134,7 @@
 
 func (s *Server) handleListResults(c echo.Context) error {
 	var body resultsBody
-	err := s.owner.Do(c.Request().Context(), func(b *recordbook.Book) { body.Results = b.ReportedResults() })
+	err := s.owner.Do(c.Request().Context(), func(b *recordbook.Book) { body.Results = b.Results() })
 	if err != nil {
 		return echo.NewHTTPError(http.StatusServiceUnavailable, err.Error())
 	}
