--- a/bench/command/democommand/democommand.go
+++ b/bench/command/democommand/democommand.go
@@ -183,10 +183,10 @@
 
 // reconcile compares the outcomes reported to callers with the runs at backend
 // servers, and prints the violations.
-func (d *demo) reconcile(reported []core.Told, runs []core.Run) error {
+func (d *demo) reconcile(reported []core.ReportedResult, runs []core.Run) error {
 	report := reconciler.New(runs).Check(reported)
 	w := d.Env.Stdout
-	fmt.Fprintf(w, "\nReconciliation of %d requests with %d runs at backend servers:\n", report.Told, report.Runs)
+	fmt.Fprintf(w, "\nReconciliation of %d requests with %d runs at backend servers:\n", report.ReportedResults, report.Runs)
 	for _, rule := range reconciler.Rules() {
 		fmt.Fprintf(w, "  %-20s %d\n", rule, report.Count(rule))
 	}
--- a/bench/measurer/measurer_test.go
+++ b/bench/measurer/measurer_test.go
@@ -42,11 +42,11 @@
 }
 
 func result(id, phase, service string, at time.Duration, inTime bool) collector.Result {
-	reported := core.Told{ID: core.RequestID(id), Phase: phase, Service: cassiatally.Service(service), Kind: "do", InTime: inTime}
+	reported := core.ReportedResult{ID: core.RequestID(id), Phase: phase, Service: cassiatally.Service(service), Kind: "do", InTime: inTime}
 	if inTime {
 		reported.Status = http.StatusOK
 	}
-	return collector.Result{Told: reported, At: epoch.Add(at)}
+	return collector.Result{ReportedResult: reported, At: epoch.Add(at)}
 }
 
 // steadyResults returns a result every 10 ms from one time to another.
--- a/bench/ranktable/ranktable.go
+++ b/bench/ranktable/ranktable.go
@@ -78,7 +78,7 @@
 }
 
 // Add counts the outcomes that were reported to callers.
-func (t *Table) Add(reported []core.Told) {
+func (t *Table) Add(reported []core.ReportedResult) {
 	for _, r := range reported {
 		row := t.row(rowKey{r.Phase, t.book.Rank(r.Service, r.Kind)})
 		t.keyOf[r.ID] = rowKey{row.Phase, row.Rank}
@@ -147,7 +147,7 @@
 	return r
 }
 
-func (r *Row) add(reported core.Told) {
+func (r *Row) add(reported core.ReportedResult) {
 	r.Offered++
 	if !slices.Contains(r.Classes, reported.Class) {
 		r.Classes = append(r.Classes, reported.Class)
@@ -157,9 +157,9 @@
 	case reported.Status == http.StatusOK && reported.Fault == core.FaultNone:
 		r.Completed++
 		r.latencies = append(r.latencies, time.Duration(reported.LatencyMS*float64(time.Millisecond)))
-	case reported.Outcome == core.ToldNotRun:
+	case reported.Outcome == core.ReportedNotRun:
 		r.Shed++
-	case reported.Outcome == core.ToldRan:
+	case reported.Outcome == core.ReportedRan:
 		r.Failed++
 	default:
 		r.Unknown++
--- a/bench/trial/trial.go
+++ b/bench/trial/trial.go
@@ -105,10 +105,10 @@
 }
 
 // Reports returns the outcomes that were reported to callers, without their times.
-func (r Results) Reports() []core.Told {
-	reports := make([]core.Told, 0, len(r.Requests))
+func (r Results) Reports() []core.ReportedResult {
+	reports := make([]core.ReportedResult, 0, len(r.Requests))
 	for _, result := range r.Requests {
-		reports = append(reports, result.Told)
+		reports = append(reports, result.ReportedResult)
 	}
 	return reports
 }
--- a/standin/backendserver/backendserver_test.go
+++ b/standin/backendserver/backendserver_test.go
@@ -24,14 +24,14 @@
 	"github.com/cassiatally/cassiatally/standin/systemclock"
 )
 
-type idle struct{}
+type idleLifecycle struct{}
 
-func (idle) Began(context.Context) bool { return true }
-func (idle) Ended()                     {}
-func (idle) Drain(context.Context) bool { return true }
-func (idle) Ready(context.Context) bool { return true }
+func (idleLifecycle) RunStarted(context.Context) bool { return true }
+func (idleLifecycle) RunEnded()                       {}
+func (idleLifecycle) Drain(context.Context) bool      { return true }
+func (idleLifecycle) MarkReady(context.Context) bool  { return true }
 
-// sink keeps the states that are recorded, in their order.
+// sink stores the recorded states in order and returns err.
 type sink struct {
 	mu     sync.Mutex
 	states []core.RunState
@@ -47,13 +47,13 @@
 
 func (s *sink) Push(ctx context.Context, r core.Run) bool { return s.Record(ctx, r) == nil }
 
-func (s *sink) seen() []core.RunState {
+func (s *sink) recordedStates() []core.RunState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]core.RunState(nil), s.states...)
 }
 
-func serve(t *testing.T, change func(*backendserver.Server)) (string, *backendserver.Server) {
+func startServer(t *testing.T, change func(*backendserver.Server)) (string, *backendserver.Server) {
 	t.Helper()
 	fixed, err := sampler.New(sampler.Fixed, 1)
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 	s := &backendserver.Server{
 		Service: "avail-svc", Work: backendserver.Work{"check": nil}, Queue: slotqueue.New(1, 0), Sampler: fixed,
-		Lifecycle: idle{}, Clock: systemclock.New(), Exit: func(int) {},
+		Lifecycle: idleLifecycle{}, Clock: systemclock.New(), Exit: func(int) {},
 	}
 	change(s)
 	s.Start()
@@ -111,7 +111,7 @@
 	}
 }
 
-// Guards against answers and records that do not match what became of a request.
+// Guards against answers and records that do not match the outcome of a request.
 func TestRequests(t *testing.T) {
 	const long = time.Hour
 	cases := []struct {
@@ -124,9 +124,9 @@
 		states  []core.RunState
 	}{
 		{"answered", func(*backendserver.Server) {}, "check", "", http.StatusOK, false, []core.RunState{core.RunStarted, core.RunFinished}},
-		{"kind it does not offer", func(*backendserver.Server) {}, "other", "", http.StatusNotFound, true, nil},
+		{"kind that is not offered", func(*backendserver.Server) {}, "other", "", http.StatusNotFound, true, nil},
 		{"malformed timeout", func(*backendserver.Server) {}, "check", "soon", http.StatusBadRequest, true, nil},
-		{"time over", func(s *backendserver.Server) { s.ServiceTime = long }, "check", "20ms", http.StatusGatewayTimeout, false, []core.RunState{core.RunStarted, core.RunAborted}},
+		{"timeout expired", func(s *backendserver.Server) { s.ServiceTime = long }, "check", "20ms", http.StatusGatewayTimeout, false, []core.RunState{core.RunStarted, core.RunAborted}},
 		{"crash after the record", func(s *backendserver.Server) {
 			s.CrashOn = "r1"
 			s.Exit = func(int) { panic(http.ErrAbortHandler) }
@@ -136,38 +136,40 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			records := &sink{}
-			url, s := serve(t, func(s *backendserver.Server) {
-				s.Starts, s.Ends = records, records
+			url, s := startServer(t, func(s *backendserver.Server) {
+				s.RunStarts, s.RunEnds = records, records
 				c.change(s)
 			})
 			a, err := call(t.Context(), url, c.kind, `{"id":"r1"}`, c.timeout)
 			is.Equal(err == nil, c.status != 0)
 			is.Equal(a.status, c.status)
-			is.Equal(a.header.Get(core.HeaderOutcome) == core.ToldNotRun, c.notRun)
-			is.Equal(records.seen(), c.states)
+			is.Equal(a.header.Get(core.HeaderOutcome) == core.ReportedNotRun, c.notRun)
+			is.Equal(records.recordedStates(), c.states)
 			waitFor(t, func() bool { return s.Queue.Pending() == 0 }) // the slot is free again
 		})
 	}
 }
 
-// Guards against work that starts although its record is not kept.
+// Guards against work that starts although the recorder has not accepted its
+// record.
 func TestNoWorkWithoutRecord(t *testing.T) {
 	is := is.New(t)
-	records := &sink{err: errors.New("recorder away")}
-	url, _ := serve(t, func(s *backendserver.Server) { s.Starts, s.ServiceTime = records, time.Hour })
+	records := &sink{err: errors.New("recorder unreachable")}
+	url, _ := startServer(t, func(s *backendserver.Server) { s.RunStarts, s.ServiceTime = records, time.Hour })
 	a, err := call(t.Context(), url, "check", `{"id":"r1"}`, "")
 	is.NoErr(err)
 	is.Equal(a.status, http.StatusServiceUnavailable)
-	is.Equal(a.header.Get(core.HeaderOutcome), "") // the record may have been kept
+	is.Equal(a.header.Get(core.HeaderOutcome), "") // the record may have been stored
 }
 
 // Guards against a full backend server that queues without bound or records a
-// request that it refuses, and against a slot that a lost caller keeps.
+// refused request, and against a slot that stays occupied after its caller has
+// disconnected.
 func TestFullAndCancelled(t *testing.T) {
 	is := is.New(t)
 	records := &sink{}
-	url, s := serve(t, func(s *backendserver.Server) {
-		s.Starts, s.Ends, s.ServiceTime = records, records, time.Hour
+	url, s := startServer(t, func(s *backendserver.Server) {
+		s.RunStarts, s.RunEnds, s.ServiceTime = records, records, time.Hour
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
@@ -175,21 +177,21 @@
 		_, err := call(ctx, url, "check", `{"id":"r1"}`, "")
 		ended <- err
 	}()
-	waitFor(t, func() bool { return len(records.seen()) == 1 })
+	waitFor(t, func() bool { return len(records.recordedStates()) == 1 })
 	a, err := call(t.Context(), url, "check", `{"id":"r2"}`, "")
 	is.NoErr(err)
 	is.Equal(a.status, http.StatusServiceUnavailable)
-	is.Equal(a.header.Get(core.HeaderOutcome), core.ToldNotRun)
-	is.Equal(len(records.seen()), 1)
+	is.Equal(a.header.Get(core.HeaderOutcome), core.ReportedNotRun)
+	is.Equal(len(records.recordedStates()), 1)
 	cancel()
 	is.True(<-ended != nil)
 	waitFor(t, func() bool { return s.Queue.Pending() == 0 })
-	waitFor(t, func() bool { return len(records.seen()) == 2 })
-	is.Equal(records.seen()[1], core.RunAborted)
+	waitFor(t, func() bool { return len(records.recordedStates()) == 2 })
+	is.Equal(records.recordedStates()[1], core.RunAborted)
 }
 
-// Guards against onward calls that a node cannot match to their parent, and
-// against an answer that its caller cannot verify.
+// Guards against onward calls that a node cannot match to their parent run, and
+// against an answer whose digest, size or id its caller cannot verify.
 func TestOnwardCalls(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
@@ -204,7 +206,7 @@
 		_, _ = io.WriteString(w, `{"id":"r1"}`)
 	}))
 	defer node.Close()
-	url, _ := serve(t, func(s *backendserver.Server) {
+	url, _ := startServer(t, func(s *backendserver.Server) {
 		s.Work = backendserver.Work{"check": {{Service: "a", Kind: "x"}, {Service: "b", Kind: "y"}}}
 		s.Children = &childcaller.Caller{Node: node.URL, Client: http.DefaultClient}
 		s.AnswerSize = 500
@@ -213,7 +215,7 @@
 	is.NoErr(err)
 	is.Equal(seen, []string{"/v1/call/a/x run-1 1", "/v1/call/b/y run-1 2"})
 	is.Equal(len(a.body), 500)
-	check := answerchecker.Checker{ID: "r1", Service: "avail-svc", Kind: "check", Size: 500}
+	check := answerchecker.Checker{ID: "r1", Service: "avail-svc", Kind: "check", MinSizeBytes: 500}
 	is.Equal(check.Check(a.header.Get(core.HeaderContentDigest), a.body), core.FaultNone)
 	check.ID = "r2"
 	is.Equal(check.Check(a.header.Get(core.HeaderContentDigest), a.body), core.FaultForeign)
@@ -221,11 +223,11 @@
 	is.Equal(check.Check(answerchecker.Digest(nil), a.body), core.FaultCorrupted)
 }
 
-// Guards against a cold start that does not slow requests down.
+// Guards against a cold start that does not multiply the service time.
 func TestColdStart(t *testing.T) {
 	is := is.New(t)
 	const serviceTime = 20 * time.Millisecond
-	url, _ := serve(t, func(s *backendserver.Server) { s.ServiceTime, s.ColdStart = serviceTime, time.Hour })
+	url, _ := startServer(t, func(s *backendserver.Server) { s.ServiceTime, s.ColdStart = serviceTime, time.Hour })
 	begin := time.Now()
 	a, err := call(t.Context(), url, "check", `{"id":"r1"}`, "")
 	is.NoErr(err)
@@ -233,8 +235,8 @@
 	is.True(time.Since(begin) >= 5*serviceTime)
 }
 
-// Guards against an application whose naive retries are not sent, or are sent as
-// other calls than the one that failed.
+// Guards against retries of onward calls that are not sent, or that are sent
+// under another number than the call that failed.
 func TestRetriedOnwardCall(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -261,7 +263,7 @@
 				_, _ = io.WriteString(w, `{"id":"r1"}`)
 			}))
 			defer node.Close()
-			url, _ := serve(t, func(s *backendserver.Server) {
+			url, _ := startServer(t, func(s *backendserver.Server) {
 				s.Work = backendserver.Work{"check": {{Service: "a", Kind: "x"}}}
 				s.Children = &childcaller.Caller{Node: node.URL, Client: http.DefaultClient, Retries: c.retries}
 			})
@@ -278,10 +280,10 @@
 // Guards against control values that are accepted but have no effect.
 func TestControl(t *testing.T) {
 	is := is.New(t)
-	lies := make(chan backendserver.Lie, 1)
-	url, _ := serve(t, func(s *backendserver.Server) {
+	announced := make(chan backendserver.FalseAnnouncement, 1)
+	url, _ := startServer(t, func(s *backendserver.Server) {
 		s.ServiceTime = time.Hour
-		s.Lie = func(_ context.Context, l backendserver.Lie) { lies <- l }
+		s.SetFalseAnnouncement = func(_ context.Context, a backendserver.FalseAnnouncement) { announced <- a }
 	})
 	put := func(body string) int {
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodPut, url+"/control", bytes.NewReader([]byte(body)))
@@ -296,7 +298,7 @@
 	is.NoErr(err)
 	is.Equal(a.problem.Kind, cassiatally.KindBackendFailed.String())
 	is.Equal(put(`{"lie":{"slots":500}}`), http.StatusOK)
-	is.Equal(<-lies, backendserver.Lie{Slots: 500})
+	is.Equal(<-announced, backendserver.FalseAnnouncement{Slots: 500})
 	is.Equal(put(`{"servicetime":"1ms"}`), http.StatusBadRequest)
 	is.Equal(put(`{"state":"gone"}`), http.StatusBadRequest)
 	is.Equal(put(`{"fail_rate":2}`), http.StatusBadRequest)
--- a/standin/backendserver/wire.go
+++ b/standin/backendserver/wire.go
@@ -16,7 +16,7 @@
 	"github.com/cassiatally/cassiatally/standin/core"
 )
 
-// request is a request as the node hands it over.
+// request is a decoded request of the node.
 type request struct {
 	kind    cassiatally.WorkKind
 	run     core.RunToken
@@ -72,20 +72,20 @@
 	}
 	var fields requestBody
 	if json.Unmarshal(body, &fields) == nil {
-		// A body of another form is served as well; its record has no id.
+		// Bodies of other formats are accepted too; their records have no id.
 		r.id = fields.ID
 	}
 	return r, nil
 }
 
-func (r request) record(s *Server) core.Run {
+func (r request) newRun(s *Server) core.Run {
 	return core.Run{
 		Run: r.run, Root: r.root, Service: s.Service, Kind: r.kind, ID: r.id,
 		Digest: cassiatally.DigestOf(r.body).String(), Key: r.key, Backend: s.Address, State: core.RunStarted,
 	}
 }
 
-// encode returns the answer, padded to at least size bytes.
+// encode returns the answer as JSON, padded to at least size bytes.
 func (a answerBody) encode(size int) ([]byte, error) {
 	body, err := json.Marshal(a)
 	if err != nil {
@@ -107,13 +107,13 @@
 	return c.Blob(http.StatusOK, echo.MIMEApplicationJSON, body)
 }
 
-// refuse answers a request of which no work was done.
+// refuse answers a request that was not run, and says so in the outcome header.
 func refuse(c echo.Context, status int, kind, detail string) error {
 	c.Response().Header().Set(core.HeaderOutcome, cassiatally.OutcomeNotRun.String())
-	return problem(c, status, kind, detail)
+	return writeProblem(c, status, kind, detail)
 }
 
-func problem(c echo.Context, status int, kind, detail string) error {
+func writeProblem(c echo.Context, status int, kind, detail string) error {
 	body, err := json.Marshal(problemBody{
 		Type: "about:blank", Title: http.StatusText(status), Status: status, Detail: detail, Kind: kind,
 	})
--- a/standin/command/command_test.go
+++ b/standin/command/command_test.go
@@ -24,15 +24,16 @@
 	"github.com/cassiatally/cassiatally/standin/systemclock"
 )
 
-// fakeNode passes calls on to the backend servers that announce themselves.
+// fakeNode forwards calls to the backend servers that have announced themselves.
 type fakeNode struct {
 	mu        sync.Mutex
 	addresses map[string]string
 	withdrawn int
 	keys      int
 	runs      int
-	// twice makes the node run each call twice, which is a violation for keys.
-	twice bool
+	// sendTwice makes the node send each call twice, which violates the guarantee for
+	// requests with a key.
+	sendTwice bool
 }
 
 func (n *fakeNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -48,12 +49,12 @@
 	case "call":
 		body, _ := io.ReadAll(r.Body)
 		n.mu.Lock()
-		twice := n.twice
+		twice := n.sendTwice
 		n.mu.Unlock()
 		if twice {
-			n.pass(httptest.NewRecorder(), r, parts[2], parts[3], body)
+			n.forward(httptest.NewRecorder(), r, parts[2], parts[3], body)
 		}
-		n.pass(w, r, parts[2], parts[3], body)
+		n.forward(w, r, parts[2], parts[3], body)
 	}
 }
 
@@ -69,7 +70,7 @@
 	n.addresses[body.Service] = body.Address
 }
 
-func (n *fakeNode) pass(w http.ResponseWriter, r *http.Request, service, kind string, body []byte) {
+func (n *fakeNode) forward(w http.ResponseWriter, r *http.Request, service, kind string, body []byte) {
 	n.mu.Lock()
 	address := n.addresses[service]
 	n.runs++
@@ -96,7 +97,7 @@
 	_, _ = w.Write(answer)
 }
 
-func (n *fakeNode) wait(t *testing.T, reached func() bool) {
+func (n *fakeNode) waitFor(t *testing.T, reached func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
 	for time.Now().Before(deadline) {
@@ -111,9 +112,9 @@
 	t.Fatal("the condition was not reached in 30 s")
 }
 
-// start runs a server command and returns its address and a function that stops
+// startServer runs a server command and returns its address and a function that stops
 // it and returns its exit code.
-func start(t *testing.T, args ...string) (string, func() cassiatally.ExitCode) {
+func startServer(t *testing.T, args ...string) (string, func() cassiatally.ExitCode) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -148,15 +149,16 @@
   - {name: base, duration: 300ms, rates: {confirm: 100}}
 `
 
-// Guards against stand-ins that do not fit together: announcements, onward calls,
-// records and results have to agree, and a doubled run has to be found.
+// Guards against stand-ins that do not work together: announcements, onward calls,
+// records and results have to match, and a duplicate run has to be reported as a
+// violation.
 func TestChainReconciles(t *testing.T) {
 	cases := []struct {
 		name  string
 		twice bool
 		want  cassiatally.ExitCode
 	}{
-		{"truthful node", false, cassiatally.ExitSuccess},
+		{"node that runs calls once", false, cassiatally.ExitSuccess},
 		{"node that runs calls twice", true, cassiatally.ExitFailure},
 	}
 	for _, c := range cases {
@@ -165,19 +167,19 @@
 			node := &fakeNode{addresses: make(map[string]string)}
 			web := httptest.NewServer(node)
 			defer web.Close()
-			records, stopRecorder := start(t, "recorder")
+			records, stopRecorder := startServer(t, "recorder")
 			var stops []func() cassiatally.ExitCode
 			for _, args := range [][]string{
 				{"backend", "--service", "booking-svc", "--work", "confirm=[avail-svc/check,avail-svc/check]"},
 				{"backend", "--service", "avail-svc", "--work", "check"},
 			} {
 				args = append(args, "--node", web.URL, "--recorder", "http://"+records, "--service-time", "1ms", "--answer-size", "300", "--queue", "1000")
-				_, stop := start(t, args...)
+				_, stop := startServer(t, args...)
 				stops = append(stops, stop)
 			}
-			node.wait(t, func() bool { return len(node.addresses) == 2 })
+			node.waitFor(t, func() bool { return len(node.addresses) == 2 })
 			node.mu.Lock()
-			node.twice = c.twice
+			node.sendTwice = c.twice
 			node.mu.Unlock()
 			path := filepath.Join(t.TempDir(), "plan.yaml")
 			is.NoErr(os.WriteFile(path, []byte(plan), 0o600))
@@ -196,14 +198,14 @@
 			for _, stop := range stops {
 				is.Equal(stop(), cassiatally.ExitSuccess)
 			}
-			is.Equal(node.withdrawn, len(stops)) // a drained backend server withdraws
+			is.Equal(node.withdrawn, len(stops)) // each drained backend server withdraws its announcement
 			is.Equal(run(t.Context(), io.Discard, "reconcile", "--recorder", "http://"+records, "--json"), c.want)
 			is.Equal(stopRecorder(), cassiatally.ExitSuccess)
 		})
 	}
 }
 
-// Guards against usage errors that exit with another status or end the test
+// Guards against usage errors that exit with another status or that end the
 // process, as flaggy does by default.
 func TestExitCodes(t *testing.T) {
 	cases := []struct {
@@ -219,7 +221,7 @@
 		{"onward calls without a node", []string{"backend", "--service", "a", "--work", "k=[b/k]"}, cassiatally.ExitUsage},
 		{"malformed route", []string{"faults", "--route", "a=b"}, cassiatally.ExitUsage},
 		{"help", []string{"load", "--help"}, cassiatally.ExitSuccess},
-		{"recorder away", []string{"reconcile", "--recorder", "http://127.0.0.1:1"}, cassiatally.ExitFailure},
+		{"recorder unreachable", []string{"reconcile", "--recorder", "http://127.0.0.1:1"}, cassiatally.ExitFailure},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/standin/command/faultscommand/faultscommand.go
+++ b/standin/command/faultscommand/faultscommand.go
@@ -1,4 +1,4 @@
-// Package faultscommand is the command that runs fault proxies.
+// Package faultscommand implements the command that runs fault proxies.
 //
 // # Usage
 //
@@ -44,7 +44,7 @@
 }
 
 // Run serves until the context ends. It prints a line for each route before the
-// line that tells the address of the control interface.
+// line with the address of the control interface.
 func (c *Command) Run(ctx context.Context, env *environment.Environment) error {
 	s := faultserver.New()
 	defer s.Close(ctx)
@@ -52,9 +52,9 @@
 		name, ends, _ := strings.Cut(r, "=")
 		listen, target, ok := strings.Cut(ends, ",")
 		if !ok || name == "" || listen == "" || target == "" {
-			return environment.Usage("--route %s: it is not of the form NAME=LISTEN,TARGET", r)
+			return environment.UsageError("--route %s: it is not of the form NAME=LISTEN,TARGET", r)
 		}
-		address, err := s.Add(ctx, faultserver.RouteName(name), listen, cassiatally.Address(target))
+		address, err := s.AddRoute(ctx, faultserver.RouteName(name), listen, cassiatally.Address(target))
 		if err != nil {
 			return errors.Wrapf(err, "route %s", name)
 		}
--- a/standin/command/logcommand/logcommand.go
+++ b/standin/command/logcommand/logcommand.go
@@ -1,5 +1,5 @@
-// Package logcommand is the command that runs the stand-in of the platform's
-// log service.
+// Package logcommand implements the command that runs the stand-in for the
+// platform's log service.
 //
 // # Usage
 //
@@ -22,7 +22,7 @@
 const (
 	defaultAppendsPerSecond = 300
 	defaultRetention        = 24 * time.Hour
-	// maxStoreBytes bounds the memory of the records.
+	// maxStoreBytes bounds the memory for records.
 	maxStoreBytes = 256 << 20
 )
 
@@ -53,7 +53,7 @@
 // Run serves until the context ends.
 func (c *Command) Run(ctx context.Context, env *environment.Environment) error {
 	if c.Options.AppendsPerSecond < 1 || c.Options.Retention <= 0 {
-		return environment.Usage("--appends-per-second and --retention must be positive")
+		return environment.UsageError("--appends-per-second and --retention must be positive")
 	}
 	store := logstore.New(logstore.Limits{
 		AppendsPerSecond: float64(c.Options.AppendsPerSecond),
--- a/standin/faultproxy/faultproxy_test.go
+++ b/standin/faultproxy/faultproxy_test.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// held is long enough for data to pass on loopback if nothing holds it back.
-	held     = 100 * time.Millisecond
-	generous = 30 * time.Second
+	// arrivalWait is long enough for data to arrive over loopback unless it is held back.
+	arrivalWait = 100 * time.Millisecond
+	testTimeout = 30 * time.Second
 )
 
-// target accepts connections and hands them to the test.
-func target(t *testing.T) (cassiatally.Address, <-chan net.Conn) {
+// startTarget listens and returns the connections that it accepts.
+func startTarget(t *testing.T) (cassiatally.Address, <-chan net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,7 +43,7 @@
 
 func startProxy(t *testing.T) (*faultproxy.Proxy, <-chan net.Conn) {
 	t.Helper()
-	address, conns := target(t)
+	address, conns := startTarget(t)
 	p := &faultproxy.Proxy{Listen: "127.0.0.1:0", Target: address}
 	if err := p.Start(t.Context()); err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 	return near, far
 }
 
-// passes sends a byte and reports whether it arrives within the limit.
+// passes sends one byte and reports whether it arrives within the limit.
 func passes(t *testing.T, from, to net.Conn, limit time.Duration) bool {
 	t.Helper()
 	if _, err := from.Write([]byte{1}); err != nil {
@@ -82,20 +82,20 @@
 		return errors.Is(errDial, syscall.ECONNRESET)
 	}
 	defer c.Close()
-	_ = c.SetReadDeadline(time.Now().Add(generous))
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	_, err := c.Read(make([]byte, 1))
 	return errors.Is(err, syscall.ECONNRESET)
 }
 
 func limitFor(expected bool) time.Duration {
 	if expected {
-		return generous
+		return testTimeout
 	}
-	return held
+	return arrivalWait
 }
 
-// Guards against a mode that lets data through which it has to hold back, or the
-// other way round, on open and on new connections.
+// Guards against a mode that forwards data that it has to hold back, or holds back
+// data that it has to forward, on open and on new connections.
 func TestModes(t *testing.T) {
 	cases := []struct {
 		mode     faultproxy.Mode
@@ -121,7 +121,7 @@
 			is := is.New(t)
 			p, conns := startProxy(t)
 			near, far := connect(t, p, conns)
-			is.True(passes(t, near, far, generous))
+			is.True(passes(t, near, far, testTimeout))
 			is.NoErr(p.Apply(t.Context(), faultproxy.Change{Mode: c.mode, ExistingOnly: c.existing}))
 			is.Equal(passes(t, near, far, limitFor(c.up)), c.up)
 			is.Equal(passes(t, far, near, limitFor(c.down)), c.down)
@@ -139,8 +139,8 @@
 	}
 }
 
-// Guards against data that is lost or reordered by a fault that ends, and against
-// an end of connection that overtakes it.
+// Guards against data that is lost or reordered when a fault ends, and against an
+// end of the connection that overtakes held data.
 func TestHeldDataFollows(t *testing.T) {
 	is := is.New(t)
 	p, conns := startProxy(t)
@@ -149,28 +149,29 @@
 	_, err := near.Write([]byte("held back"))
 	is.NoErr(err)
 	is.NoErr(near.(*net.TCPConn).CloseWrite())
-	_ = far.SetReadDeadline(time.Now().Add(held))
+	_ = far.SetReadDeadline(time.Now().Add(arrivalWait))
 	_, err = far.Read(make([]byte, 1))
 	is.True(err != nil)
 	is.NoErr(p.Apply(t.Context(), faultproxy.Change{Mode: faultproxy.ModePass}))
-	_ = far.SetReadDeadline(time.Now().Add(generous))
+	_ = far.SetReadDeadline(time.Now().Add(testTimeout))
 	got, err := io.ReadAll(far)
 	is.NoErr(err)
 	is.Equal(string(got), "held back")
-	is.True(passes(t, far, near, generous)) // the other direction is still open
+	is.True(passes(t, far, near, testTimeout)) // the opposite direction is still open
 }
 
-// Guards against a silent connection that comes back when the route passes again.
+// Guards against a permanently silenced connection that works again when the mode
+// of the proxy changes to pass.
 func TestSilentForGood(t *testing.T) {
 	is := is.New(t)
 	p, conns := startProxy(t)
 	near, far := connect(t, p, conns)
 	is.NoErr(p.Apply(t.Context(), faultproxy.Change{Mode: faultproxy.ModeSilent, ExistingOnly: true}))
 	is.NoErr(p.Apply(t.Context(), faultproxy.Change{Mode: faultproxy.ModePass}))
-	is.True(!passes(t, near, far, held))
+	is.True(!passes(t, near, far, arrivalWait))
 }
 
-// Guards against a delay that is not applied in each direction.
+// Guards against a delay that is applied to one direction only.
 func TestDelay(t *testing.T) {
 	is := is.New(t)
 	p, conns := startProxy(t)
@@ -179,12 +180,12 @@
 	is.NoErr(p.Apply(t.Context(), faultproxy.Change{Delay: &delay}))
 	for _, ends := range [][2]net.Conn{{near, far}, {far, near}} {
 		begin := time.Now()
-		is.True(passes(t, ends[0], ends[1], generous))
+		is.True(passes(t, ends[0], ends[1], testTimeout))
 		is.True(time.Since(begin) >= delay)
 	}
 }
 
-// Guards against duties that a silent connection keeps alive after Close.
+// Guards against a Close that does not end the duties of a silenced connection.
 func TestCloseWhileSilent(t *testing.T) {
 	is := is.New(t)
 	p, conns := startProxy(t)
@@ -193,13 +194,13 @@
 	_, err := near.Write([]byte("held back"))
 	is.NoErr(err)
 	p.Close()
-	_ = near.SetReadDeadline(time.Now().Add(generous))
+	_ = near.SetReadDeadline(time.Now().Add(testTimeout))
 	_, err = near.Read(make([]byte, 1))
 	is.True(err != nil)
 }
 
-// Guards against a fault between two data centres that hits other connections,
-// or that new connections escape.
+// Guards against a fault for one data centre that affects connections of another
+// one, or that does not apply to new connections.
 func TestMatching(t *testing.T) {
 	is := is.New(t)
 	p, conns := startProxy(t)
@@ -210,7 +211,7 @@
 		return near, far
 	}
 	read := func(far net.Conn, n int) error {
-		_ = far.SetReadDeadline(time.Now().Add(generous))
+		_ = far.SetReadDeadline(time.Now().Add(testTimeout))
 		_, err := io.ReadFull(far, make([]byte, n))
 		return err
 	}
@@ -220,7 +221,7 @@
 	is.NoErr(read(north, len("from north")))
 	is.NoErr(p.Apply(t.Context(), faultproxy.Change{Mode: faultproxy.ModeCut, Matching: "south"}))
 	is.True(read(south, 1) != nil)
-	is.True(passes(t, near, north, generous))
+	is.True(passes(t, near, north, testTimeout))
 	_, south = greet("from south")
 	is.True(read(south, 1) != nil)
 	is.NoErr(p.Apply(t.Context(), faultproxy.Change{Mode: faultproxy.ModePass, Matching: "south"}))
@@ -228,27 +229,27 @@
 	is.NoErr(read(south, len("from south")))
 }
 
-// Guards against new connections that go to the old target.
+// Guards against new connections that are forwarded to the previous target.
 func TestNewTarget(t *testing.T) {
 	is := is.New(t)
 	p, _ := startProxy(t)
-	address, conns := target(t)
+	address, conns := startTarget(t)
 	is.NoErr(p.Apply(t.Context(), faultproxy.Change{Target: address}))
 	near, far := connect(t, p, conns)
-	is.True(passes(t, near, far, generous))
+	is.True(passes(t, near, far, testTimeout))
 }
 
-// Guards against an answer that passes whole when it was to be cut.
+// Guards against an answer that is forwarded in full despite a byte limit.
 func TestCutDown(t *testing.T) {
 	is := is.New(t)
 	p, conns := startProxy(t)
 	limit := int64(3)
-	is.NoErr(p.Apply(t.Context(), faultproxy.Change{CutDown: &limit}))
+	is.NoErr(p.Apply(t.Context(), faultproxy.Change{CutDownAfterBytes: &limit}))
 	near, far := connect(t, p, conns)
-	is.True(passes(t, near, far, generous))
+	is.True(passes(t, near, far, testTimeout))
 	_, err := far.Write([]byte("answer"))
 	is.NoErr(err)
-	_ = near.SetReadDeadline(time.Now().Add(generous))
+	_ = near.SetReadDeadline(time.Now().Add(testTimeout))
 	got, err := io.ReadAll(near)
 	is.True(err != nil)
 	is.True(len(got) <= int(limit))
--- a/standin/faultserver/faultserver.go
+++ b/standin/faultserver/faultserver.go
@@ -1,11 +1,11 @@
-// Package faultserver controls fault proxies over HTTP: routes, which pass TCP on,
-// and links, which pass the frames between nodes on.
+// Package faultserver controls fault proxies over HTTP: routes, which forward TCP
+// connections, and links, which forward the frames between nodes.
 //
 // # Usage
 //
 //	s := faultserver.New()
 //	defer s.Close(ctx)
-//	address, err := s.Add(ctx, "a-to-b", "127.0.0.1:0", "127.0.0.1:7001")
+//	address, err := s.AddRoute(ctx, "a-to-b", "127.0.0.1:0", "127.0.0.1:7001")
 //	web := &httpserver.Server{Listen: "127.0.0.1:0", Handler: s.Handler()}
 package faultserver
 
@@ -29,16 +29,16 @@
 const inboxCapacity = 256
 
 var (
-	// ErrNameTaken tells that there is a route of the name.
+	// ErrNameTaken is returned when a route or link of the name exists.
 	ErrNameTaken = errors.New("there is a route of this name")
-	// ErrNoRoute tells that there is no route of the name.
+	// ErrNoRoute is returned when no route or link of the name exists.
 	ErrNoRoute = errors.New("there is no route of this name")
 )
 
-// RouteName names a route.
+// RouteName names a route or a link.
 type RouteName string
 
-// Server controls the proxies of one process.
+// Server owns and controls the proxies of one process.
 type Server struct {
 	owner *owner.Owner[routes]
 }
@@ -55,14 +55,14 @@
 	Target cassiatally.Address `json:"target"`
 }
 
-type changeBody struct {
+type routeChangeBody struct {
 	Mode         faultproxy.Mode `json:"mode"`
 	Delay        *string         `json:"delay"`
 	ExistingOnly bool            `json:"existing_only"`
-	// CutDown, Matching and Target are those of faultproxy.Change.
-	CutDown  *int64              `json:"cut_down"`
-	Matching string              `json:"matching"`
-	Target   cassiatally.Address `json:"target"`
+	// See faultproxy.Change for the following fields.
+	CutDownAfterBytes *int64              `json:"cut_down"`
+	Matching          string              `json:"matching"`
+	Target            cassiatally.Address `json:"target"`
 }
 
 type routeBody struct {
@@ -82,7 +82,7 @@
 	Routes []routeBody `json:"routes"`
 }
 
-// New returns a server without routes.
+// New returns a server without routes and links.
 func New() *Server {
 	return &Server{owner: owner.New(&routes{
 		proxies: make(map[RouteName]*faultproxy.Proxy),
@@ -90,27 +90,28 @@
 	}, inboxCapacity)}
 }
 
-// Close works after the end of ctx. It closes all routes and waits for the end of their duties.
+// Close closes all routes and links and waits for their duties. It also works after
+// ctx has ended.
 func (s *Server) Close(ctx context.Context) {
-	var proxies []interface{ Close() }
+	var closers []interface{ Close() }
 	_ = s.owner.Do(context.WithoutCancel(ctx), func(r *routes) {
 		for name, p := range r.proxies {
-			proxies = append(proxies, p)
+			closers = append(closers, p)
 			delete(r.proxies, name)
 		}
 		for name, p := range r.links {
-			proxies = append(proxies, p)
+			closers = append(closers, p)
 			delete(r.links, name)
 		}
 	})
 	s.owner.Close()
-	for _, p := range proxies {
-		p.Close()
+	for _, c := range closers {
+		c.Close()
 	}
 }
 
-// Add adds a route and returns the address on which it accepts.
-func (s *Server) Add(ctx context.Context, name RouteName, listen string, target cassiatally.Address) (cassiatally.Address, error) {
+// AddRoute starts a proxy and returns the address on which it listens.
+func (s *Server) AddRoute(ctx context.Context, name RouteName, listen string, target cassiatally.Address) (cassiatally.Address, error) {
 	p := &faultproxy.Proxy{Listen: listen, Target: target}
 	if err := p.Start(ctx); err != nil {
 		return "", err
@@ -145,7 +146,7 @@
 	return e
 }
 
-func (s *Server) find(ctx context.Context, name RouteName, remove bool) (*faultproxy.Proxy, error) {
+func (s *Server) findRoute(ctx context.Context, name RouteName, remove bool) (*faultproxy.Proxy, error) {
 	var found *faultproxy.Proxy
 	err := s.owner.Do(ctx, func(r *routes) {
 		found = r.proxies[name]
@@ -164,20 +165,20 @@
 
 func (s *Server) handleList(c echo.Context) error {
 	ctx := c.Request().Context()
-	named := make(map[RouteName]*faultproxy.Proxy)
+	proxies := make(map[RouteName]*faultproxy.Proxy)
 	err := s.owner.Do(ctx, func(r *routes) {
 		for name, p := range r.proxies {
-			named[name] = p
+			proxies[name] = p
 		}
 	})
 	if err != nil {
-		return answerError(err)
+		return httpError(err)
 	}
 	body := routesBody{Routes: []routeBody{}}
-	for name, p := range named {
-		route, err := describe(ctx, name, p)
+	for name, p := range proxies {
+		route, err := describeRoute(ctx, name, p)
 		if err != nil {
-			return answerError(err)
+			return httpError(err)
 		}
 		body.Routes = append(body.Routes, route)
 	}
@@ -197,14 +198,14 @@
 		body.Listen = "127.0.0.1:0"
 	}
 	ctx := c.Request().Context()
-	if _, err := s.Add(ctx, body.Name, body.Listen, body.Target); err != nil {
-		return answerError(err)
+	if _, err := s.AddRoute(ctx, body.Name, body.Listen, body.Target); err != nil {
+		return httpError(err)
 	}
 	return s.answerRoute(c, http.StatusCreated, body.Name)
 }
 
 func (s *Server) handleChange(c echo.Context) error {
-	var body changeBody
+	var body routeChangeBody
 	if err := httpserver.DecodeJSON(c, &body); err != nil {
 		return err
 	}
@@ -213,20 +214,20 @@
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 	}
 	ctx, name := c.Request().Context(), RouteName(c.Param("name"))
-	p, err := s.find(ctx, name, false)
+	p, err := s.findRoute(ctx, name, false)
 	if err != nil {
-		return answerError(err)
+		return httpError(err)
 	}
 	if err := p.Apply(ctx, change); err != nil {
-		return answerError(err)
+		return httpError(err)
 	}
 	return s.answerRoute(c, http.StatusOK, name)
 }
 
 func (s *Server) handleRemove(c echo.Context) error {
-	p, err := s.find(c.Request().Context(), RouteName(c.Param("name")), true)
+	p, err := s.findRoute(c.Request().Context(), RouteName(c.Param("name")), true)
 	if err != nil {
-		return answerError(err)
+		return httpError(err)
 	}
 	p.Close()
 	return c.NoContent(http.StatusNoContent)
@@ -234,19 +235,19 @@
 
 func (s *Server) answerRoute(c echo.Context, status int, name RouteName) error {
 	ctx := c.Request().Context()
-	p, err := s.find(ctx, name, false)
+	p, err := s.findRoute(ctx, name, false)
 	if err != nil {
-		return answerError(err)
+		return httpError(err)
 	}
-	body, err := describe(ctx, name, p)
+	body, err := describeRoute(ctx, name, p)
 	if err != nil {
-		return answerError(err)
+		return httpError(err)
 	}
 	return c.JSON(status, body)
 }
 
-func (b changeBody) decode() (faultproxy.Change, error) {
-	change := faultproxy.Change{Mode: b.Mode, ExistingOnly: b.ExistingOnly, CutDown: b.CutDown, Matching: b.Matching, Target: b.Target}
+func (b routeChangeBody) decode() (faultproxy.Change, error) {
+	change := faultproxy.Change{Mode: b.Mode, ExistingOnly: b.ExistingOnly, CutDownAfterBytes: b.CutDownAfterBytes, Matching: b.Matching, Target: b.Target}
 	if b.Mode != "" && !b.Mode.Valid() {
 		return change, errors.New("mode is not one of pass, cut, silent, one_way_up, one_way_down, refuse")
 	}
@@ -260,7 +261,7 @@
 	return change, nil
 }
 
-func describe(ctx context.Context, name RouteName, p *faultproxy.Proxy) (routeBody, error) {
+func describeRoute(ctx context.Context, name RouteName, p *faultproxy.Proxy) (routeBody, error) {
 	status, err := p.Status(ctx)
 	return routeBody{
 		Name: name, Listen: p.Address(), Target: status.Target, Mode: status.Mode, Delay: status.Delay.String(),
@@ -269,7 +270,7 @@
 	}, err
 }
 
-func answerError(err error) error {
+func httpError(err error) error {
 	status := http.StatusServiceUnavailable
 	switch {
 	case errors.Is(err, ErrNoRoute):
--- a/standin/logstore/logstore.go
+++ b/standin/logstore/logstore.go
@@ -1,7 +1,7 @@
-// Package logstore keeps append-only streams in memory, as the platform's log
-// service does: records are dropped after the retention time, offsets never
-// restart, and the rate of appends is bounded. It takes the time as an
-// argument and knows nothing of HTTP.
+// Package logstore stores append-only streams in memory with the limits of the
+// platform's log service: records expire after the retention time, offsets are
+// never reused, and the rate of appends is limited. It takes the time as an
+// argument and does not depend on HTTP.
 //
 // # Usage
 //
@@ -23,16 +23,18 @@
 )
 
 var (
-	// ErrTooFast tells that appends come faster than the stated rate.
+	// ErrTooFast is returned when appends exceed the rate limit.
 	ErrTooFast = errors.New("appends come faster than the log accepts")
-	// ErrFull tells that the store holds as many bytes as it may.
+	// ErrFull is returned when a record would exceed the byte limit.
 	ErrFull = errors.New("the log is full")
 )
 
-// maxBatchBytes bounds the data of one answer to a read.
+// maxBatchBytes bounds the data of one batch. The record that exceeds it is still
+// part of the batch.
 const maxBatchBytes = 8 << 20
 
-// burstTime is the time whose appends may come at once.
+// burstTime sets the burst of the rate limit: the appends that the rate allows in
+// this time may arrive at once.
 const burstTime = 100 * time.Millisecond
 
 // Limits bound a store.
@@ -51,14 +53,14 @@
 }
 
 type stream struct {
-	first   cassiatally.Offset
-	records []stored
+	oldest  cassiatally.Offset
+	records []storedRecord
 	changed chan struct{}
 }
 
-type stored struct {
-	at   cassiatally.Instant
-	data []byte
+type storedRecord struct {
+	appendedAt cassiatally.Instant
+	data       []byte
 }
 
 // New returns an empty store.
@@ -82,23 +84,23 @@
 	}
 	st := s.stream(name)
 	offset := st.end()
-	st.records = append(st.records, stored{at: now, data: data})
+	st.records = append(st.records, storedRecord{appendedAt: now, data: data})
 	s.bytes += len(data)
-	st.wake()
+	st.wakeReaders()
 	return offset, nil
 }
 
-// Read returns up to limit records from the offset on. When there is none, the
-// channel is closed once there may be one.
+// Read returns up to limit records, starting at the offset. The channel is closed
+// at the next append to the stream or by WakeReaders.
 func (s *Store) Read(now cassiatally.Instant, name cassiatally.Stream, from cassiatally.Offset, limit int) (cassiatally.Batch, <-chan struct{}) {
 	s.expire(now)
 	st := s.stream(name)
-	at := min(max(from, st.first), st.end())
-	batch := cassiatally.Batch{Oldest: st.first, Next: at}
+	at := min(max(from, st.oldest), st.end())
+	batch := cassiatally.Batch{Oldest: st.oldest, Next: at}
 	size := 0
 	for at < st.end() && len(batch.Records) < limit && size < maxBatchBytes {
-		r := st.records[at-st.first]
-		expires := r.at.Add(s.limits.Retention).Sub(now)
+		r := st.records[at-st.oldest]
+		expires := r.appendedAt.Add(s.limits.Retention).Sub(now)
 		batch.Records = append(batch.Records, cassiatally.LogRecord{Offset: at, Expires: expires, Data: r.data})
 		size += len(r.data)
 		at++
@@ -107,10 +109,11 @@
 	return batch, st.changed
 }
 
-// Wake ends all waits for new records.
-func (s *Store) Wake() {
+// WakeReaders closes the channels of all streams, so that waiting readers read
+// again.
+func (s *Store) WakeReaders() {
 	for _, st := range s.streams {
-		st.wake()
+		st.wakeReaders()
 	}
 }
 
@@ -125,18 +128,18 @@
 
 func (s *Store) expire(now cassiatally.Instant) {
 	for _, st := range s.streams {
-		for len(st.records) > 0 && now.Reached(st.records[0].at.Add(s.limits.Retention)) {
+		for len(st.records) > 0 && now.Reached(st.records[0].appendedAt.Add(s.limits.Retention)) {
 			s.bytes -= len(st.records[0].data)
-			st.records[0] = stored{}
+			st.records[0] = storedRecord{}
 			st.records = st.records[1:]
-			st.first++
+			st.oldest++
 		}
 	}
 }
 
-func (st *stream) end() cassiatally.Offset { return st.first + cassiatally.Offset(len(st.records)) }
+func (st *stream) end() cassiatally.Offset { return st.oldest + cassiatally.Offset(len(st.records)) }
 
-func (st *stream) wake() {
+func (st *stream) wakeReaders() {
 	close(st.changed)
 	st.changed = make(chan struct{})
 }
--- a/standin/recordbook/recordbook.go
+++ b/standin/recordbook/recordbook.go
@@ -1,5 +1,5 @@
-// Package recordbook keeps what backend servers ran and what callers were told,
-// in memory, and counts the runs of each call of a call tree.
+// Package recordbook stores the runs of backend servers and the results reported
+// to callers in memory, and counts the runs of each call of a call tree.
 //
 // # Usage
 //
@@ -21,20 +21,20 @@
 	"github.com/cassiatally/cassiatally/standin/core"
 )
 
-// DefaultCapacity bounds the runs and, separately, what callers were told. A
-// million records take about 500 MB.
+// DefaultCapacity bounds the number of runs and, separately, of reported results.
+// A million records take about 500 MB.
 const DefaultCapacity = 1 << 20
 
-// ErrFull tells that the book has no room. A record is never dropped in
-// silence, since the reconciler would take it for a violation.
+// ErrFull is returned when the book is at capacity. A record is never dropped
+// silently, since the reconciler would report the missing record as a violation.
 var ErrFull = errors.New("the recorder holds as many records as it may")
 
-// Book is the records of one trial.
+// Book holds the records of one trial.
 type Book struct {
-	capacity int
-	runs     []core.Run
-	index    map[core.RecordID]int
-	told     []core.Told
+	capacity      int
+	runs          []core.Run
+	indexByRecord map[core.RecordID]int
+	results       []core.ReportedResult
 }
 
 // Group counts the runs of one call of a call tree.
@@ -45,24 +45,26 @@
 	Runs    int
 }
 
-// Summary counts runs.
+// Summary counts runs and reported results. Doubles is the number of calls with
+// more than one run.
 type Summary struct {
-	Runs    int
-	Told    int
-	States  map[core.RunState]int
-	Doubles int
-	Groups  []Group
+	Runs            int
+	ReportedResults int
+	States          map[core.RunState]int
+	Doubles         int
+	Groups          []Group
 }
 
 // New returns an empty book.
 func New(capacity int) *Book {
-	return &Book{capacity: capacity, index: make(map[core.RecordID]int)}
+	return &Book{capacity: capacity, indexByRecord: make(map[core.RecordID]int)}
 }
 
-// AddRun adds a run or replaces its state. An end is never replaced by a start.
+// AddRun adds a run, or updates it if its record exists. A late start does not
+// replace a recorded end.
 func (b *Book) AddRun(r core.Run) error {
-	at, known := b.index[r.Record]
-	if known {
+	at, exists := b.indexByRecord[r.Record]
+	if exists {
 		if r.State != core.RunStarted {
 			b.runs[at] = r
 		}
@@ -71,29 +73,30 @@
 	if len(b.runs) >= b.capacity {
 		return ErrFull
 	}
-	b.index[r.Record] = len(b.runs)
+	b.indexByRecord[r.Record] = len(b.runs)
 	b.runs = append(b.runs, r)
 	return nil
 }
 
-// AddTold adds what callers were told.
-func (b *Book) AddTold(told []core.Told) error {
-	if len(b.told)+len(told) > b.capacity {
+// AddResults adds results reported to callers: all of them, or none when
+// they exceed the capacity.
+func (b *Book) AddResults(results []core.ReportedResult) error {
+	if len(b.results)+len(results) > b.capacity {
 		return ErrFull
 	}
-	b.told = append(b.told, told...)
+	b.results = append(b.results, results...)
 	return nil
 }
 
 // Runs returns a copy of the runs.
 func (b *Book) Runs() []core.Run { return append([]core.Run{}, b.runs...) }
 
-// Told returns a copy of what callers were told.
-func (b *Book) Told() []core.Told { return append([]core.Told{}, b.told...) }
+// Results returns a copy of the results reported to callers.
+func (b *Book) Results() []core.ReportedResult { return append([]core.ReportedResult{}, b.results...) }
 
-// Summarise counts the runs and lists the groups with at least minRuns.
+// Summarise counts the records and lists the calls with at least minRuns runs.
 func (b *Book) Summarise(minRuns int) Summary {
-	s := Summary{Runs: len(b.runs), Told: len(b.told), States: make(map[core.RunState]int)}
+	s := Summary{Runs: len(b.runs), ReportedResults: len(b.results), States: make(map[core.RunState]int)}
 	counts := make(map[Group]int)
 	for _, r := range b.runs {
 		s.States[r.State]++
--- a/standin/recorder/recorder.go
+++ b/standin/recorder/recorder.go
@@ -1,5 +1,6 @@
-// Package recorder keeps the records of many backend servers and callers behind
-// an HTTP interface, and has the client of that interface.
+// Package recorder stores the runs of all backend servers and the results
+// reported to callers, and serves them over HTTP. It includes the client of that
+// interface.
 //
 // # Usage
 //
@@ -28,10 +29,10 @@
 const (
 	inboxCapacity = 4096
 	runsPath      = "/v1/runs"
-	toldPath      = "/v1/told"
+	resultsPath   = "/v1/told"
 )
 
-// Server is the recorder.
+// Server is the HTTP server of the recorder.
 type Server struct {
 	owner *owner.Owner[recordbook.Book]
 }
@@ -40,16 +41,16 @@
 	Runs []core.Run `json:"runs"`
 }
 
-type toldBody struct {
-	Told []core.Told `json:"told"`
+type resultsBody struct {
+	Results []core.ReportedResult `json:"told"`
 }
 
 type summaryBody struct {
-	Runs    int                   `json:"runs"`
-	Told    int                   `json:"told"`
-	States  map[core.RunState]int `json:"states"`
-	Doubles int                   `json:"doubles"`
-	Groups  []groupBody           `json:"groups"`
+	Runs            int                   `json:"runs"`
+	ReportedResults int                   `json:"told"`
+	States          map[core.RunState]int `json:"states"`
+	Doubles         int                   `json:"doubles"`
+	Groups          []groupBody           `json:"groups"`
 }
 
 type groupBody struct {
@@ -59,26 +60,26 @@
 	Runs    int                  `json:"runs"`
 }
 
-// New returns a recorder of the book, which it owns from then on.
+// New returns a recorder that takes ownership of the book.
 func New(b *recordbook.Book) *Server {
 	return &Server{owner: owner.New(b, inboxCapacity)}
 }
 
-// Close waits for the end of the duty that owns the book.
+// Close stops the duty that owns the book and waits for it.
 func (s *Server) Close() { s.owner.Close() }
 
 // Handler returns the HTTP interface.
 func (s *Server) Handler() http.Handler {
 	e := httpserver.NewEcho()
-	e.POST(runsPath, s.handleRun)
-	e.GET(runsPath, s.handleRuns)
-	e.POST(toldPath, s.handleTold)
-	e.GET(toldPath, s.handleToldList)
+	e.POST(runsPath, s.handleAddRun)
+	e.GET(runsPath, s.handleListRuns)
+	e.POST(resultsPath, s.handleAddResults)
+	e.GET(resultsPath, s.handleListResults)
 	e.GET("/v1/summary", s.handleSummary)
 	return e
 }
 
-func (s *Server) handleRun(c echo.Context) error {
+func (s *Server) handleAddRun(c echo.Context) error {
 	var run core.Run
 	if err := httpserver.DecodeJSON(c, &run); err != nil {
 		return err
@@ -86,31 +87,31 @@
 	if run.Record == "" {
 		return echo.NewHTTPError(http.StatusBadRequest, "record is missing")
 	}
-	return s.add(c, func(b *recordbook.Book) error { return b.AddRun(run) })
+	return s.addToBook(c, func(b *recordbook.Book) error { return b.AddRun(run) })
 }
 
-// handleTold takes one result, or several under the field told.
-func (s *Server) handleTold(c echo.Context) error {
+// handleAddResults accepts a single result, or several under the field told.
+func (s *Server) handleAddResults(c echo.Context) error {
 	var body struct {
-		core.Told
-		toldBody
+		core.ReportedResult
+		resultsBody
 	}
 	if err := httpserver.DecodeJSON(c, &body); err != nil {
 		return err
 	}
-	told := body.toldBody.Told
-	if len(told) == 0 {
-		told = []core.Told{body.Told}
+	results := body.Results
+	if len(results) == 0 {
+		results = []core.ReportedResult{body.ReportedResult}
 	}
-	for _, t := range told {
-		if t.ID == "" {
+	for _, r := range results {
+		if r.ID == "" {
 			return echo.NewHTTPError(http.StatusBadRequest, "id is missing")
 		}
 	}
-	return s.add(c, func(b *recordbook.Book) error { return b.AddTold(told) })
+	return s.addToBook(c, func(b *recordbook.Book) error { return b.AddResults(results) })
 }
 
-func (s *Server) add(c echo.Context, apply func(*recordbook.Book) error) error {
+func (s *Server) addToBook(c echo.Context, apply func(*recordbook.Book) error) error {
 	var errAdd error
 	err := s.owner.Do(c.Request().Context(), func(b *recordbook.Book) { errAdd = apply(b) })
 	if err != nil {
@@ -122,7 +123,7 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-func (s *Server) handleRuns(c echo.Context) error {
+func (s *Server) handleListRuns(c echo.Context) error {
 	var body runsBody
 	err := s.owner.Do(c.Request().Context(), func(b *recordbook.Book) { body.Runs = b.Runs() })
 	if err != nil {
@@ -131,9 +132,9 @@
 	return c.JSON(http.StatusOK, body)
 }
 
-func (s *Server) handleToldList(c echo.Context) error {
-	var body toldBody
-	err := s.owner.Do(c.Request().Context(), func(b *recordbook.Book) { body.Told = b.Told() })
+func (s *Server) handleListResults(c echo.Context) error {
+	var body resultsBody
+	err := s.owner.Do(c.Request().Context(), func(b *recordbook.Book) { body.Results = b.Results() })
 	if err != nil {
 		return echo.NewHTTPError(http.StatusServiceUnavailable, err.Error())
 	}
@@ -158,7 +159,7 @@
 }
 
 func encodeSummary(s recordbook.Summary) summaryBody {
-	body := summaryBody{Runs: s.Runs, Told: s.Told, States: s.States, Doubles: s.Doubles, Groups: make([]groupBody, 0, len(s.Groups))}
+	body := summaryBody{Runs: s.Runs, ReportedResults: s.ReportedResults, States: s.States, Doubles: s.Doubles, Groups: make([]groupBody, 0, len(s.Groups))}
 	for _, g := range s.Groups {
 		body.Groups = append(body.Groups, groupBody(g))
 	}
--- a/standin/resultwriter/resultwriter.go
+++ b/standin/resultwriter/resultwriter.go
@@ -1,11 +1,11 @@
-// Package resultwriter passes the results of a load on, in batches, to a file
-// and to a recorder.
+// Package resultwriter writes the results of a load in batches to a file and to a
+// recorder.
 //
 // # Usage
 //
-//	w := &resultwriter.Writer{Sinks: []core.ToldSink{client}}
+//	w := &resultwriter.Writer{Sinks: []core.ResultSink{client}}
 //	w.Start(ctx)
-//	w.Push(ctx, told)
+//	w.Push(ctx, result)
 //	err := w.Close()
 package resultwriter
 
@@ -24,35 +24,36 @@
 
 const (
 	inboxCapacity = 8192
-	// batchSize keeps a batch well below the limit of 1 MiB for a body.
+	// batchSize keeps a batch well below the body limit of 1 MiB.
 	batchSize = 500
-	// sendTimeout bounds one batch, tries bounds the times it is sent.
+	// sendTimeout bounds one attempt to send a batch, maxAttempts their number.
 	sendTimeout = 5 * time.Second
-	tries       = 3
-	pause       = 200 * time.Millisecond
+	maxAttempts = 3
+	retryPause  = 200 * time.Millisecond
 )
 
-// Writer is the duty that passes results on. Senders wait while its ring is
+// Writer is the duty that sends results to its sinks. Push blocks while its ring is
 // full.
 type Writer struct {
-	Sinks []core.ToldSink
+	Sinks []core.ResultSink
 
-	inbox *ring.Ring[core.Told]
+	inbox *ring.Ring[core.ReportedResult]
 	wg    sync.WaitGroup
 	err   error
 }
 
-// Start starts the duty, which ends with Close only.
+// Start starts the duty, which runs until Close even when ctx ends.
 func (w *Writer) Start(ctx context.Context) {
-	w.inbox = ring.New[core.Told](inboxCapacity, ring.Wait)
+	w.inbox = ring.New[core.ReportedResult](inboxCapacity, ring.Wait)
 	w.wg.Go(func() { w.run(context.WithoutCancel(ctx)) })
 }
 
-// Push hands a result over.
-func (w *Writer) Push(ctx context.Context, t core.Told) bool { return w.inbox.Push(ctx, t) }
+// Push queues a result. It returns false when ctx ends first or the writer is
+// closed.
+func (w *Writer) Push(ctx context.Context, t core.ReportedResult) bool { return w.inbox.Push(ctx, t) }
 
-// Close passes on what was handed over, ends the duty and returns the first
-// error of a sink.
+// Close sends the queued results, ends the duty and returns the first error of a
+// sink.
 func (w *Writer) Close() error {
 	w.inbox.Close()
 	w.wg.Wait()
@@ -65,46 +66,46 @@
 		if !ok {
 			return
 		}
-		batch := w.inbox.TakeAll([]core.Told{first})
+		batch := w.inbox.TakeAll([]core.ReportedResult{first})
 		for len(batch) > 0 {
 			n := min(len(batch), batchSize)
-			w.pass(ctx, batch[:n])
+			w.sendToSinks(ctx, batch[:n])
 			batch = batch[n:]
 		}
 	}
 }
 
-func (w *Writer) pass(ctx context.Context, batch []core.Told) {
+func (w *Writer) sendToSinks(ctx context.Context, batch []core.ReportedResult) {
 	for _, s := range w.Sinks {
-		if err := send(ctx, s, batch); err != nil && w.err == nil {
+		if err := sendWithRetries(ctx, s, batch); err != nil && w.err == nil {
 			w.err = err
 		}
 	}
 }
 
-func send(ctx context.Context, s core.ToldSink, batch []core.Told) error {
+func sendWithRetries(ctx context.Context, s core.ResultSink, batch []core.ReportedResult) error {
 	var err error
-	for range tries {
+	for range maxAttempts {
 		attempt, cancel := context.WithTimeout(ctx, sendTimeout)
-		err = s.Tell(attempt, batch)
+		err = s.RecordResults(attempt, batch)
 		cancel()
 		if err == nil {
 			return nil
 		}
-		timer := time.NewTimer(pause)
+		timer := time.NewTimer(retryPause)
 		<-timer.C
 	}
-	return errors.Wrap(err, "passing results on")
+	return errors.Wrap(err, "sending results")
 }
 
-// Lines writes one JSON line per result.
-type Lines struct{ W io.Writer }
+// JSONLines is a sink that writes one line of JSON per result.
+type JSONLines struct{ W io.Writer }
 
-// Tell writes the results.
-func (l Lines) Tell(_ context.Context, told []core.Told) error {
+// RecordResults writes the results.
+func (l JSONLines) RecordResults(_ context.Context, results []core.ReportedResult) error {
 	encoder := json.NewEncoder(l.W)
-	for _, t := range told {
-		if err := encoder.Encode(t); err != nil {
+	for _, r := range results {
+		if err := encoder.Encode(r); err != nil {
 			return errors.Wrap(err, "writing a result")
 		}
 	}
--- a/standin/sampler/sampler.go
+++ b/standin/sampler/sampler.go
@@ -22,8 +22,9 @@
 	Exponential = "exponential"
 )
 
-// largestFactor bounds a sample, so that one draw cannot hold a slot for long.
-const largestFactor = 10
+// maxFactor bounds a sample to 10 times the mean, so that a single sample cannot
+// occupy a slot for long.
+const maxFactor = 10
 
 type fixed struct{}
 
@@ -36,13 +37,12 @@
 
 func (e *exponential) Sample(mean time.Duration) time.Duration {
 	e.mu.Lock()
-	factor := min(e.rng.ExpFloat64(), largestFactor)
+	factor := min(e.rng.ExpFloat64(), maxFactor)
 	e.mu.Unlock()
 	return time.Duration(factor * float64(mean))
 }
 
-// New returns the sampler of the named distribution. It is safe for concurrent
-// use.
+// New returns a sampler of the named distribution that is safe for concurrent use.
 func New(name string, seed uint64) (core.Sampler, error) {
 	switch name {
 	case Fixed:
