--- a/cassiatally/admitter/admitter.go
+++ b/cassiatally/admitter/admitter.go
@@ -45,7 +45,7 @@
 	typicalDecay = 0.8
 	// marginDivisor divides the typical run time to give the margin for the transfer of
 	// the answer and for the error of the estimate (1/20 of the run time).
-	// Where run times hardly vary, calls started with just the typical time left, and
+	// Where run times hardly vary, calls started with just the typical time remaining, and
 	// their answers came late.
 	marginDivisor = 20
 	// tokenTime is the time for which a rank can save up its reserved share. With
@@ -183,16 +183,16 @@
 	if a.q.len() == 0 || rate <= 0 || a.meter.free() > a.q.len() {
 		return 0
 	}
-	own := a.entriesAhead(r, key)
-	all := own
+	aheadInRank := a.entriesAhead(r, key)
+	all := aheadInRank
 	for q := range r {
 		all += float64(a.q.rankLen(q))
 	}
 	wait := all / rate
 	if share := float64(a.ranks[r].share); share > 0 {
-		wait = min(wait, own/(share*rate))
-		if a.ranks[r].tokens > own {
-			wait = min(wait, own/rate)
+		wait = min(wait, aheadInRank/(share*rate))
+		if a.ranks[r].tokens > aheadInRank {
+			wait = min(wait, aheadInRank/rate)
 		}
 	}
 	return time.Duration(wait * float64(time.Second))
@@ -221,11 +221,11 @@
 	if target <= 0 {
 		target = defaultTargetWait
 	}
-	least := a.MinQueue
-	if least <= 0 {
-		least = defaultMinQueue
+	minQueue := a.MinQueue
+	if minQueue <= 0 {
+		minQueue = defaultMinQueue
 	}
-	return max(int(a.meter.capacity*target.Seconds()), least)
+	return max(int(a.meter.capacity*target.Seconds()), minQueue)
 }
 
 // evictionCandidate returns the entry to refuse when the queue is too long, and nil
@@ -302,7 +302,7 @@
 	return dropped
 }
 
-// tooLate reports whether less time is left until the entry's deadline than its run
+// tooLate reports whether less time remains until the entry's deadline than its run
 // needs. A probe is too late only after its deadline.
 func (a *Admitter) tooLate(now cassiatally.Instant, it *item) bool {
 	if it.entry.Deadline == 0 {
@@ -469,14 +469,14 @@
 
 // requiredTime returns how long before its deadline a call has to start. It allows
 // for run times above the typical one, since a run that is cut off at its deadline
-// has cost as much as one that ends. A call with little time left may still wait for
-// half of it, unless the typical run time is longer than the other half.
+// has cost as much as one that ends. A call with little time remaining may still wait
+// for half of it, unless the typical run time is longer than the other half.
 func (a *Admitter) requiredTime(now cassiatally.Instant, e cassiatally.Entry, r cassiatally.Rank) time.Duration {
 	if e.Deadline == 0 {
 		return 0
 	}
 	typical := max(a.times.typical(r), a.stalledRunTime(now))
 	typical += typical / marginDivisor
-	most := max(typical, e.Deadline.Sub(now)/2)
-	return min(typical+requiredDeviations*a.times.deviation(r), most)
+	maxRequired := max(typical, e.Deadline.Sub(now)/2)
+	return min(typical+requiredDeviations*a.times.deviation(r), maxRequired)
 }
--- a/cassiatally/admitter/admitter_test.go
+++ b/cassiatally/admitter/admitter_test.go
@@ -217,7 +217,7 @@
 	const from, to = 3 * time.Second, 3*time.Second + window
 	b := backends[2]
 	c := b.capacity()
-	pause := func(rng *rand.Rand, at cassiatally.Instant) time.Duration {
+	withPause := func(rng *rand.Rand, at cassiatally.Instant) time.Duration {
 		d := jittered(b.service)(rng, at)
 		if end := cassiatally.Instant(to); at.Add(d).Reached(cassiatally.Instant(from)) && at.Before(end) {
 			return max(d, end.Sub(at))
@@ -229,7 +229,7 @@
 		rate    func(cassiatally.Instant) float64
 		service func(*rand.Rand, cassiatally.Instant) time.Duration
 	}{
-		{"the backend server pauses", constant(0.7 * c), pause},
+		{"the backend server pauses", constant(0.7 * c), withPause},
 		{"a burst of four times the capacity", between(0.7*c, 4*c, from, to), jittered(b.service)},
 	}
 	for _, x := range cases {
@@ -251,7 +251,7 @@
 
 // Guards against a typical run time that stays too high forever after a slow period
 // in which every call was dropped as too late, so that no run ended.
-func TestMeasuresAgainAfterSlowSpell(t *testing.T) {
+func TestMeasuresAgainAfterSlowPeriod(t *testing.T) {
 	const from, to = 3 * time.Second, 6 * time.Second
 	is := is.New(t)
 	b := backends[0]
@@ -374,9 +374,9 @@
 	now = now.Add(typical)
 	a.Done(now, 0, typical)
 	a.Tick(now, 1)
-	offer := func(seq uint64, left time.Duration) []cassiatally.Dropped {
+	offer := func(seq uint64, remaining time.Duration) []cassiatally.Dropped {
 		e := entry(seq, 0, cassiatally.Order(seq)/10)
-		e.Deadline = now.Add(left)
+		e.Deadline = now.Add(remaining)
 		return a.Offer(now, e)
 	}
 	is.Equal(offer(2, typical/2)[0].Kind, cassiatally.KindExpired)
--- a/cassiatally/admitter/fleet_test.go
+++ b/cassiatally/admitter/fleet_test.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	narrow cassiatally.Service = "narrow"
-	wide   cassiatally.Service = "wide"
+	bottleneck cassiatally.Service = "narrow"
+	wide       cassiatally.Service = "wide"
 )
 
 // class is one kind of requests in the model of a fleet.
@@ -27,7 +27,7 @@
 	name    cassiatally.WorkKind
 	rank    cassiatally.Rank
 	timeout time.Duration
-	// onward requests pass a wide service before they call the narrow one.
+	// onward requests pass a wide service before they call the bottleneck.
 	onward bool
 }
 
@@ -37,9 +37,9 @@
 	rates    []float64
 }
 
-// fleet simulates a narrow service with several endpoints behind entry nodes, which
-// receive levels with answers and, later, by gossip. Requests reach the narrow service
-// directly or through a wide one. It is a discrete event simulation.
+// fleet simulates a bottleneck service with several endpoints behind entry nodes, which
+// receive levels with answers and, later, by gossip. Requests reach the bottleneck
+// service directly or through a wide one. It is a discrete event simulation.
 type fleet struct {
 	seed      uint64
 	endpoints int
@@ -102,9 +102,9 @@
 }
 
 type report struct {
-	at   cassiatally.Instant
-	load cassiatally.ServiceLoad
-	own  cassiatally.EndpointLoad
+	at       cassiatally.Instant
+	load     cassiatally.ServiceLoad
+	endpoint cassiatally.EndpointLoad
 }
 
 type fleetCall struct {
@@ -175,7 +175,7 @@
 func (f *fleet) candidates() (all []cassiatally.Candidate) {
 	for _, h := range f.hosts {
 		all = append(all, cassiatally.Candidate{
-			Ref: cassiatally.NodeRef{Node: h.id}, Service: narrow, DataCentre: "x", State: cassiatally.EndpointReady,
+			Ref: cassiatally.NodeRef{Node: h.id}, Service: bottleneck, DataCentre: "x", State: cassiatally.EndpointReady,
 		})
 	}
 	return all
@@ -191,12 +191,12 @@
 
 // rate returns the current load of a class.
 func (f *fleet) rate(i int) float64 {
-	left := f.now.Sub(0)
+	elapsed := f.now.Sub(0)
 	for _, s := range f.stages {
-		if left < s.duration {
+		if elapsed < s.duration {
 			return s.rates[i]
 		}
-		left -= s.duration
+		elapsed -= s.duration
 	}
 	return 0
 }
@@ -212,7 +212,7 @@
 	x := f.classes[i]
 	n := f.nodes[f.rng.IntN(len(f.nodes))]
 	c := &fleetCall{class: i, order: cassiatally.Order(f.rng.Float64()), offered: f.now, deadline: f.now.Add(x.timeout), entry: n, from: n}
-	first := narrow
+	first := bottleneck
 	if x.onward {
 		first = wide
 	}
@@ -229,7 +229,7 @@
 }
 
 func (f *fleet) send(c *fleetCall) {
-	id, ok := c.from.balance.Choose(f.now, narrow, nil)
+	id, ok := c.from.balance.Choose(f.now, bottleneck, nil)
 	if !ok {
 		panic("no endpoint")
 	}
@@ -292,8 +292,8 @@
 	r := f.reportOf(c.host)
 	x := f.classes[c.class]
 	f.after(linkTime, func() {
-		c.from.balance.Finished(f.now, c.host.id, cassiatally.CallResult{Took: f.now.Sub(c.sent), Load: r.own})
-		c.from.loads.RecordChain(f.now, narrow, "deep", []cassiatally.ServiceLoad{r.load})
+		c.from.balance.Finished(f.now, c.host.id, cassiatally.CallResult{Took: f.now.Sub(c.sent), Load: r.endpoint})
+		c.from.loads.RecordChain(f.now, bottleneck, "deep", []cassiatally.ServiceLoad{r.load})
 		if x.onward {
 			f.after(linkTime, func() {
 				c.entry.loads.RecordChain(f.now, wide, x.name, []cassiatally.ServiceLoad{r.load})
@@ -312,8 +312,8 @@
 func (f *fleet) reportOf(h *host) report {
 	return report{
 		at:   f.now,
-		load: cassiatally.ServiceLoad{Service: narrow, Weight: float64(f.slots), Levels: h.queue.Levels()},
-		own: cassiatally.EndpointLoad{
+		load: cassiatally.ServiceLoad{Service: bottleneck, Weight: float64(f.slots), Levels: h.queue.Levels()},
+		endpoint: cassiatally.EndpointLoad{
 			Node: h.id, Limit: cassiatally.Concurrency(f.slots), InFlight: cassiatally.Concurrency(h.running), Queued: h.queue.Len(),
 			TypicalSelfTime: f.service,
 		},
@@ -451,19 +451,19 @@
 			lost, all := 0, 0
 			for seed := range uint64(fleetSeeds) {
 				f := fleetAt(seed, mixed(loaded, load), mixed(warm, 0.5))
-				own := f.offeredBetween(0, warm, warm+loaded)
+				urgent := f.offeredBetween(0, warm, warm+loaded)
 				part := f.inTimeFraction(0, warm, warm+loaded)
-				t.Logf("seed %d: urgent in time %.4f of %d, goodput %.3f", seed, part, len(own), f.goodput(warm+settling, warm+loaded))
+				t.Logf("seed %d: urgent in time %.4f of %d, goodput %.3f", seed, part, len(urgent), f.goodput(warm+settling, warm+loaded))
 				is.True(f.goodput(warm+settling, warm+loaded) >= goodputTarget)
-				all += len(own)
-				lost += len(own) - int(part*float64(len(own))+0.5)
+				all += len(urgent)
+				lost += len(urgent) - int(part*float64(len(urgent))+0.5)
 			}
 			is.True(float64(lost) <= (1-urgentTarget)*float64(all))
 		})
 	}
 }
 
-// Guards against entries that go on refusing after an overload because they receive the
+// Guards against entries that keep refusing after an overload because they receive the
 // levels of the recovered endpoints late.
 func TestFleetServesAllAfterOverload(t *testing.T) {
 	is := is.New(t)
--- a/cassiatally/admitter/meter.go
+++ b/cassiatally/admitter/meter.go
@@ -29,7 +29,7 @@
 	// poor estimate of the level that the entry applies.
 	minArrivals = 8
 	// The level of a rank falls to lateLevel when at least minLate of its calls, and
-	// lateFactor times as many as the others, have less time left than a run takes.
+	// lateFactor times as many as the others, have less time than a run takes.
 	// The work of upstream services for such calls is lost. lateLevel lets enough calls
 	// pass to detect when that ends, and a level returns from it to 1 in 4 windows.
 	minLate    = 4
@@ -87,7 +87,7 @@
 	levelSeconds perRank
 	// highestOrder is the highest order value that arrived.
 	highestOrder perRank
-	// lateArrivals counts the calls that arrived with less time left than a run needs.
+	// lateArrivals counts the calls that arrived with less time than a run needs.
 	lateArrivals perRank
 }
 
@@ -228,8 +228,8 @@
 		next := combineTargets(r, short.levels[r], longer.levels[r])
 		next *= backlogFactor(r, backlog, next)
 		if shares[r] > 0 {
-			own := float64(m.queued[r]) / float64(quota(shares[r], bound))
-			next = max(next, combineTargets(r, short.reserved[r], longer.reserved[r])*reservedBacklogFactor(own))
+			reservedBacklog := float64(m.queued[r]) / float64(quota(shares[r], bound))
+			next = max(next, combineTargets(r, short.reserved[r], longer.reserved[r])*reservedBacklogFactor(reservedBacklog))
 		}
 		if sum.arrivals[r] == 0 {
 			next = level
@@ -241,12 +241,12 @@
 			m.levels[r] = cassiatally.Level(max(level*maxShrink, min(level, lateLevel)))
 			continue
 		}
-		least := level
+		minNext := level
 		waiting += sum.waitingSeconds[r] / sum.seconds
 		if waiting >= backlogToLower(r, next)*float64(bound) {
-			least *= maxShrink
+			minNext *= maxShrink
 		}
-		next = min(max(next, least), level*maxGrowth)
+		next = min(max(next, minNext), level*maxGrowth)
 		m.levels[r] = cassiatally.Level(min(max(next, minLevel), 1))
 	}
 	return short.available
@@ -352,9 +352,9 @@
 // backlog of the rank itself as a fraction of its own places in the queue. More urgent
 // calls in the queue do not delay what the reserved share pays for: with the factor of
 // the whole queue, a flood of the most urgent work took a sixth of the share of rank 1.
-func reservedBacklogFactor(own float64) float64 {
+func reservedBacklogFactor(backlog float64) float64 {
 	const gain = 0.2
-	return 1 + gain*(reservedBacklogTarget-own)
+	return 1 + gain*(reservedBacklogTarget-backlog)
 }
 
 // quota returns the number of places in the queue that a reserved share has in
@@ -392,15 +392,15 @@
 		return available
 	}
 	var reserved perRank
-	left := capacity
+	remaining := capacity
 	for r := range reserved {
 		reserved[r] = min(shares[r]*capacity, rates[r])
-		left -= reserved[r]
+		remaining -= reserved[r]
 	}
 	for r := range available {
-		own := max(left, 0) + reserved[r]
-		available[r] = max(own, shares[r]*capacity)
-		left -= max(min(rates[r], own)-reserved[r], 0)
+		usable := max(remaining, 0) + reserved[r]
+		available[r] = max(usable, shares[r]*capacity)
+		remaining -= max(min(rates[r], usable)-reserved[r], 0)
 	}
 	return available
 }
--- a/cassiatally/admitter/probes.go
+++ b/cassiatally/admitter/probes.go
@@ -18,11 +18,11 @@
 	started bool
 }
 
-// tryStart reports whether a call with that much time left starts as a probe, and
+// tryStart reports whether a call with that much time remaining starts as a probe, and
 // spends the credit if so.
-func (p *probes) tryStart(left time.Duration) bool {
+func (p *probes) tryStart(remaining time.Duration) bool {
 	p.dropped = true
-	if left <= 0 || p.creditSeconds < left.Seconds() {
+	if remaining <= 0 || p.creditSeconds < remaining.Seconds() {
 		return false
 	}
 	p.creditSeconds, p.started = 0, true
--- a/cassiatally/admitter/proportion_test.go
+++ b/cassiatally/admitter/proportion_test.go
@@ -12,7 +12,7 @@
 )
 
 // shortage offers a backend server twice the work that it can do, in the proportions
-// of the barrier deployment's narrow service, and returns the fraction of each rank
+// of the barrier deployment's bottleneck service, and returns the fraction of each rank
 // that is served. Entry nodes refuse calls by the levels that it publishes.
 func shortage(a *admitter.Admitter) (served [3]float64) {
 	const (
@@ -34,16 +34,16 @@
 	now := cassiatally.Instant(time.Hour)
 	for ms := range seconds * 1000 {
 		now = now.Add(time.Millisecond)
-		left := busy[:0]
+		remaining := busy[:0]
 		for _, b := range busy {
 			if now.Before(b.ends) {
-				left = append(left, b)
+				remaining = append(remaining, b)
 				continue
 			}
 			a.Done(now, b.rank, run)
 			done[b.rank]++
 		}
-		busy = left
+		busy = remaining
 		for r, part := range mix {
 			rate := demand * part * serverSlots / run.Seconds() / 1000
 			for rate > 0 && rng.Float64() < rate {
--- a/cassiatally/admitter/runtimes.go
+++ b/cassiatally/admitter/runtimes.go
@@ -120,16 +120,16 @@
 // baseline of its rank. How much longer it would have taken is unknown; it is assumed
 // to need as much time again, and at least the typical run time. With the elapsed time
 // alone, the estimate would stay below the deadlines at which runs are cut off, and
-// calls that cannot finish would go on being started.
+// calls that cannot finish would still be started.
 func (t *runTimes) recordCut(r cassiatally.Rank, busy time.Duration) {
 	s := &t.ranks[r]
 	if s.baseline == 0 || busy <= s.baseline {
 		return
 	}
 	s.cutFraction += cutFractionWeight * (1 - s.cutFraction)
-	least := busy + max(t.typical(r), busy)
-	t.updateSlowdown(s.cutFraction*s.slowdownWeight(), max(float64(least)/float64(s.baseline), t.slowdown))
-	s.baseline += time.Duration(s.cutFraction * cutWeight * max(float64(least)/t.slowdown-float64(s.baseline), 0))
+	assumed := busy + max(t.typical(r), busy)
+	t.updateSlowdown(s.cutFraction*s.slowdownWeight(), max(float64(assumed)/float64(s.baseline), t.slowdown))
+	s.baseline += time.Duration(s.cutFraction * cutWeight * max(float64(assumed)/t.slowdown-float64(s.baseline), 0))
 	t.overall = smooth(t.overall, max(t.overall, busy))
 }
 
--- a/cassiatally/admitter/runtimes_test.go
+++ b/cassiatally/admitter/runtimes_test.go
@@ -28,11 +28,11 @@
 	seq uint64
 }
 
-// offer offers a call with that much time left and reports whether it is started.
-func (s *server) offer(r cassiatally.Rank, left time.Duration) bool {
+// offer offers a call with that much time remaining and reports whether it is started.
+func (s *server) offer(r cassiatally.Rank, remaining time.Duration) bool {
 	s.seq++
 	e := entry(s.seq, r, 0.01)
-	e.Deadline = s.now.Add(left)
+	e.Deadline = s.now.Add(remaining)
 	if len(s.Offer(s.now, e)) > 0 {
 		return false
 	}
@@ -42,13 +42,13 @@
 
 // run offers a call whose run takes that long, or is cut off at its deadline if that is
 // earlier. It reports whether the call is started.
-func (s *server) run(r cassiatally.Rank, left, took time.Duration) bool {
-	if !s.offer(r, left) {
+func (s *server) run(r cassiatally.Rank, remaining, took time.Duration) bool {
+	if !s.offer(r, remaining) {
 		return false
 	}
-	s.now = s.now.Add(min(took, left))
-	if took > left {
-		s.CutOff(s.now, r, left)
+	s.now = s.now.Add(min(took, remaining))
+	if took > remaining {
+		s.CutOff(s.now, r, remaining)
 	} else {
 		s.Done(s.now, r, took)
 	}
@@ -70,20 +70,20 @@
 	}
 }
 
-// Guards against calls that go on being started although each of them is cut off at
+// Guards against calls that are still started although each of them is cut off at
 // its deadline: the elapsed time of a cut run never exceeds the time it was given, and
 // neither does a mean of such times.
 func TestRepeatedCutsStopFurtherStarts(t *testing.T) {
 	is := is.New(t)
 	s := &server{}
 	s.runAtNormalSpeed()
-	const most = 8
+	const maxStarts = 8
 	n := 0
-	for n <= most && s.run(1, shortTime, slowRun) {
+	for n <= maxStarts && s.run(1, shortTime, slowRun) {
 		n++
 	}
 	is.True(n > 1) // a single long run may be chance
-	is.True(n <= most)
+	is.True(n <= maxStarts)
 	is.True(s.offer(0, longTime)) // a call with enough time is served
 }
 
@@ -98,13 +98,13 @@
 		s.run(0, longTime, slowRun)
 	}
 	is.True(!s.offer(1, shortTime))
-	const most = 10
+	const maxRuns = 10
 	n := 0
-	for n <= most && !s.offer(1, shortTime) {
+	for n <= maxRuns && !s.offer(1, shortTime) {
 		s.run(0, longTime, normalRun)
 		n++
 	}
-	is.True(n <= most)
+	is.True(n <= maxRuns)
 }
 
 // Guards against a rank that stays refused after only its own runs took longer for a
@@ -175,18 +175,18 @@
 // services would do their work before the call is refused.
 func TestRankWithoutTimeLosesItsLevel(t *testing.T) {
 	is := is.New(t)
-	const most = 10
+	const maxWindows = 10
 	s := &server{}
 	s.runAtNormalSpeed()
 	for range 20 {
 		s.run(0, longTime, slowRun)
 	}
 	s.offer(0, longTime)
-	windows := func(r cassiatally.Rank, left time.Duration, done func(cassiatally.Level) bool) int {
+	windows := func(r cassiatally.Rank, remaining time.Duration, done func(cassiatally.Level) bool) int {
 		n := 0
-		for n <= most && !done(s.Levels()[1]) {
+		for n <= maxWindows && !done(s.Levels()[1]) {
 			for range 3 {
-				if s.offer(r, left) {
+				if s.offer(r, remaining) {
 					s.Done(s.now, r, normalRun)
 				}
 			}
@@ -195,15 +195,15 @@
 		}
 		return n
 	}
-	is.True(windows(1, shortTime, func(l cassiatally.Level) bool { return l < 0.3 }) <= most)
+	is.True(windows(1, shortTime, func(l cassiatally.Level) bool { return l < 0.3 }) <= maxWindows)
 	is.Equal(s.Levels()[0], cassiatally.Level(1))
 	for range 20 {
 		s.run(0, longTime, normalRun)
 	}
-	is.True(windows(1, shortTime, func(l cassiatally.Level) bool { return l == 1 }) <= most)
+	is.True(windows(1, shortTime, func(l cassiatally.Level) bool { return l == 1 }) <= maxWindows)
 }
 
-// Guards against starting calls at a stalled backend server that have less time left
+// Guards against starting calls at a stalled backend server that have less time
 // than the stall suggests, and against detecting a stall while runs end or while few
 // are in flight.
 func TestStalledServerTakesCallsWithTimeOnly(t *testing.T) {
--- a/cassiatally/admitter/tenants.go
+++ b/cassiatally/admitter/tenants.go
@@ -75,13 +75,13 @@
 		return
 	}
 	slices.Sort(t.demands)
-	left := available
+	remaining := available
 	for i, d := range t.demands {
-		t.fairShare = left / float64(len(t.demands)-i)
+		t.fairShare = remaining / float64(len(t.demands)-i)
 		if d >= t.fairShare {
 			break
 		}
-		left -= d
+		remaining -= d
 	}
 	t.fairShare = max(t.fairShare, minDemand)
 }
