--- a/cassiatally/balancer/balancer.go
+++ b/cassiatally/balancer/balancer.go
@@ -33,13 +33,13 @@
 	defaultSlowStart       = 5 * time.Second
 	defaultExclusion       = 5 * time.Second
 	// After a call that did not reach an endpoint, the endpoint is chosen only when
-	// there is no other one, at first for minUnreachedPause. Membership takes 3 s to
+	// there is no other one, at first for minUnreachedBackoff. Membership takes 3 s to
 	// 10 s to suspect its node, and with fewer than three endpoints a service excludes
 	// none.
-	minUnreachedPause = time.Second
-	// maxUnreachedPause bounds the doubling of the pause while the endpoint stays out of
-	// reach, as in a data centre that is cut off.
-	maxUnreachedPause = 4 * time.Second
+	minUnreachedBackoff = time.Second
+	// maxUnreachedBackoff bounds the doubling of the backoff while the endpoint stays
+	// unreachable, as in a data centre that is cut off.
+	maxUnreachedBackoff = 4 * time.Second
 	// minWeight is the weight of an endpoint at the beginning of its slow start.
 	minWeight = 0.1
 	// reportHalfLife is the time after which the calls of other nodes in a report
@@ -86,7 +86,7 @@
 	ConnectionShare float64
 	// SlowStart is the time in which a new incarnation reaches full weight; 0 means 5 s,
 	// and a negative value means no slow start. A fleet needs none if its nodes restart
-	// while the endpoints beside them go on running.
+	// while the endpoints on their hosts keep running.
 	SlowStart time.Duration
 	// Exclusion is the duration of a first exclusion; 0 means 5 s.
 	Exclusion time.Duration
@@ -113,9 +113,9 @@
 	exclusions     int
 	// unreachedUntil is until when the endpoint is chosen only if there is no other.
 	unreachedUntil cassiatally.Instant
-	// unreachedPause is the length of the last such pause; 0 after a call that reached
+	// unreachedBackoff is the length of the last backoff; 0 after a call that reached
 	// the endpoint.
-	unreachedPause time.Duration
+	unreachedBackoff time.Duration
 }
 
 var _ cassiatally.Balancer = (*Balancer)(nil)
@@ -282,17 +282,17 @@
 // endpoint: otherwise a new endpoint of a fast service would get no calls while the
 // others have room.
 func (b *Balancer) minTypical(s cassiatally.Service) time.Duration {
-	least := unknownTypical
+	shortest := unknownTypical
 	for _, e := range b.services[s] {
 		if t := e.load.TypicalSelfTime; t > 0 {
-			least = min(least, t)
+			shortest = min(shortest, t)
 		}
 	}
-	return least
+	return shortest
 }
 
 // slowdown returns the factor by which a call takes longer at an endpoint with the
-// given fraction of its limit in use. Below fullFraction calls start at once.
+// given fraction of its limit in use. Below fullFraction calls start immediately.
 func slowdown(used float64) float64 {
 	return 1 + loadCost*used + fullCost*max(used-fullFraction, 0)
 }
@@ -327,9 +327,9 @@
 	}
 	e.calls++
 	if r.Unreachable {
-		e.pauseUnreached(now)
+		e.startBackoff(now)
 	} else {
-		e.unreachedPause = 0
+		e.unreachedBackoff = 0
 	}
 	failed := 0.0
 	if r.Failed {
@@ -343,24 +343,24 @@
 	}
 }
 
-// pauseUnreached has the endpoint chosen only when there is no other one, for a pause
-// that doubles each time.
-func (e *endpoint) pauseUnreached(now cassiatally.Instant) {
-	e.unreachedPause = min(max(2*e.unreachedPause, minUnreachedPause), maxUnreachedPause)
-	e.unreachedUntil = now.Add(e.unreachedPause)
+// startBackoff has the endpoint chosen only when there is no other one, for a time
+// that doubles with each call.
+func (e *endpoint) startBackoff(now cassiatally.Instant) {
+	e.unreachedBackoff = min(max(2*e.unreachedBackoff, minUnreachedBackoff), maxUnreachedBackoff)
+	e.unreachedUntil = now.Add(e.unreachedBackoff)
 }
 
 // MarkSilent records that the node of the endpoint has sent nothing for some time.
 func (b *Balancer) MarkSilent(now cassiatally.Instant, n cassiatally.NodeID) {
 	if e := b.nodes[n]; e != nil && !now.Before(e.unreachedUntil) {
-		e.pauseUnreached(now)
+		e.startBackoff(now)
 	}
 }
 
 // MarkResponding records that the node of the endpoint is reachable again.
 func (b *Balancer) MarkResponding(n cassiatally.NodeID) {
 	if e := b.nodes[n]; e != nil {
-		e.unreachedUntil, e.unreachedPause = 0, 0
+		e.unreachedUntil, e.unreachedBackoff = 0, 0
 	}
 }
 
--- a/cassiatally/balancer/balancer_test.go
+++ b/cassiatally/balancer/balancer_test.go
@@ -185,8 +185,8 @@
 	is.Equal(run(afterSlowStart.Add(time.Minute)), 10)
 }
 
-// Guards against a node that restarts beside a warm endpoint, so that the endpoint is
-// treated as cold and stays nearly idle while calls queue at the other one.
+// Guards against a node that restarts on the host of a warm endpoint, so that the
+// endpoint is treated as cold and stays nearly idle while calls queue at the other one.
 func TestNoSlowStart(t *testing.T) {
 	is := is.New(t)
 	const slots = 8
@@ -207,7 +207,7 @@
 	is.Equal(counts["n1"], slots/2)
 }
 
-// Guards against failing endpoints that go on getting calls, against the exclusion of
+// Guards against failing endpoints that still get calls, against the exclusion of
 // too many, and against exclusions that never end.
 func TestOutliers(t *testing.T) {
 	const endpoints = 6
@@ -342,7 +342,7 @@
 
 // Guards against calls that go to an endpoint behind a partition once a second for as
 // long as it lasts, and each time wait until the endpoint proves unreachable.
-func TestUnreachedPauseGrows(t *testing.T) {
+func TestUnreachedBackoffGrows(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(1, candidates(1, 1))
 	now, tries := afterSlowStart, 0
@@ -360,7 +360,7 @@
 	b.Finished(now, "n0", cassiatally.CallResult{Took: time.Millisecond})
 	later := now.Add(5 * time.Second)
 	b.Finished(later, "n0", cassiatally.CallResult{Failed: true, Unreachable: true})
-	is.Equal(chooseMany(b, later.Add(1100*time.Millisecond), 20)["n0"], 20) // after a success the pause is short again
+	is.Equal(chooseMany(b, later.Add(1100*time.Millisecond), 20)["n0"], 20) // after a success the backoff is short again
 }
 
 // Guards against an endpoint that joins a service of short calls and gets none of them,
