--- a/cassiatally/budgeter/budgeter.go
+++ b/cassiatally/budgeter/budgeter.go
@@ -139,8 +139,8 @@
 // income returns the tokens of the current period: those earned, or those of MinRate
 // if they are more.
 func (b *Budgeter) income(k *buckets, now cassiatally.Instant) float64 {
-	least := positiveOr(b.MinRate, defaultMinRate) * now.Sub(k.periodStart).Seconds()
-	return max(k.earned, least)
+	minIncome := positiveOr(b.MinRate, defaultMinRate) * now.Sub(k.periodStart).Seconds()
+	return max(k.earned, minIncome)
 }
 
 func (b *Budgeter) bucketsOf(now cassiatally.Instant, p cassiatally.ServicePair) *buckets {
--- a/cassiatally/budgeter/budgeter_test.go
+++ b/cassiatally/budgeter/budgeter_test.go
@@ -30,10 +30,10 @@
 func TestRate(t *testing.T) {
 	const d = 100 * time.Second
 	cases := []struct {
-		name        string
-		rate        int
-		level       cassiatally.Level
-		least, most int
+		name               string
+		rate               int
+		level              cassiatally.Level
+		minTaken, maxTaken int
 	}{
 		{"a tenth of the successes", 1000, 1, 9_900, 10_010},
 		{"at least one per second", 2, 1, 98, 102},
@@ -44,8 +44,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			taken := load(&budgeter.Budgeter{}, 0, d, c.rate, c.level)
-			is.True(taken >= c.least)
-			is.True(taken <= c.most)
+			is.True(taken >= c.minTaken)
+			is.True(taken <= c.maxTaken)
 		})
 	}
 }
@@ -98,9 +98,9 @@
 	for now := cassiatally.Instant(0); now.Before(cassiatally.Instant(time.Minute)); now = now.Add(time.Second / 200) {
 		saved.Succeeded(now, pair)
 	}
-	most := takeAll(saved, cassiatally.Instant(time.Minute))
-	is.True(most >= 200) // the successes of a second
-	is.True(most <= 220)
+	tokens := takeAll(saved, cassiatally.Instant(time.Minute))
+	is.True(tokens >= 200) // the successes of a second
+	is.True(tokens <= 220)
 	is.True(saved.TakeRetry(cassiatally.Instant(time.Minute), pair, 0, 1)) // the other bucket is unchanged
 }
 
