--- a/cassiatally/router/answer.go
+++ b/cassiatally/router/answer.go
@@ -89,10 +89,10 @@
 }
 
 // handleClaimFailure handles a failed answer to a claim. A claim that reached a node
-// which no longer holds the shard is sent again after a pause, to the holder by the
-// shard table of that time.
+// which no longer holds the shard is sent again after claimRetryInterval, to the
+// holder by the shard table of that time.
 func (r *Router) handleClaimFailure(now cassiatally.Instant, p *pending, a cassiatally.Answer) []cassiatally.Action {
-	if a.Kind == cassiatally.KindUnavailable && now.Add(claimRetryPause).Before(p.req.Deadline) {
+	if a.Kind == cassiatally.KindUnavailable && now.Add(claimRetryInterval).Before(p.req.Deadline) {
 		if a.Outcome != cassiatally.OutcomeNotRun {
 			p.markResent()
 		}
@@ -150,7 +150,7 @@
 	p.deferrals++
 	p.waiting = true
 	p.avoid = nil
-	r.scheduleWake(p, now.Add(deferralPause))
+	r.scheduleWake(p, now.Add(deferralInterval))
 	return nil
 }
 
@@ -167,7 +167,7 @@
 }
 
 // isEndpointLoss reports whether a call with this kind of error failed because its
-// endpoint, the node beside it or the connection was lost.
+// endpoint, the node of the endpoint or the connection was lost.
 func isEndpointLoss(k cassiatally.ErrorKind) bool {
 	switch k {
 	case cassiatally.KindOutcomeUnknown, cassiatally.KindIncompleteAnswer, cassiatally.KindUnreachable:
@@ -294,7 +294,7 @@
 // queryRun queries the outcome of a call at the node that it was sent to.
 func (r *Router) queryRun(now cassiatally.Instant, p *pending) []cassiatally.Action {
 	r.counts.OutcomeQueries++
-	r.scheduleWake(p, now.Add(queryPause))
+	r.scheduleWake(p, now.Add(queryInterval))
 	return []cassiatally.Action{cassiatally.Send{
 		To:      p.target,
 		Message: cassiatally.RunQuery{ID: p.attempt, Target: p.queriedIncarnation, Request: p.tag},
--- a/cassiatally/router/router.go
+++ b/cassiatally/router/router.go
@@ -31,20 +31,20 @@
 	// answerGrace is how long after the deadline an answer may still arrive. The node
 	// that has the call reports its outcome within this time.
 	answerGrace = 50 * time.Millisecond
-	// claimRetryPause is the pause before a claim is sent to the holder again.
-	claimRetryPause = 100 * time.Millisecond
-	// queryPause is the pause before the outcome of a call whose link was lost is
+	// claimRetryInterval is the time before a claim is sent to the holder again.
+	claimRetryInterval = 100 * time.Millisecond
+	// queryInterval is the time before the outcome of a call whose link was lost is
 	// queried again.
-	queryPause = 200 * time.Millisecond
+	queryInterval = 200 * time.Millisecond
 	// maxRedirects bounds the redirects of a call away from endpoints that are draining
 	// or unreachable. Such a call was not run and spends no retry.
 	maxRedirects = 3
-	// deferralPause is the pause before a call is sent again to its only remaining
-	// endpoint, which was unreachable; maxDeferrals bounds the pauses. A node that is
+	// deferralInterval is the time before a call is sent again to its only remaining
+	// endpoint, which was unreachable; maxDeferrals bounds the deferrals. A node that is
 	// reachable again is connected within them.
-	deferralPause = 50 * time.Millisecond
-	maxDeferrals  = 4
-	// The answer to a refused caller asks for a retry within retryAfterFraction of the
+	deferralInterval = 50 * time.Millisecond
+	maxDeferrals     = 4
+	// The answer to a refused caller requests a retry within retryAfterFraction of the
 	// time to its deadline, and no earlier than minRetryAfterFraction of that. Retries are
 	// spread over the interval, so that refused callers do not return all at once.
 	retryAfterFraction    = 1.0 / 3
@@ -106,7 +106,7 @@
 	retriesLeft      cassiatally.RetryCount
 	retriesSpent     cassiatally.RetryCount
 	redirects        int
-	// deferrals counts the pauses in which the only remaining endpoint was dialled.
+	// deferrals counts the waits while the only remaining endpoint was dialled.
 	deferrals int
 	// sends counts the endpoints that received the request and may have run it.
 	sends int
@@ -214,7 +214,7 @@
 // claim may be sent to any number of holders, since a key is run once.
 func (r *Router) deferClaim(now cassiatally.Instant, p *pending) []cassiatally.Action {
 	p.waiting = true
-	r.scheduleWake(p, now.Add(claimRetryPause))
+	r.scheduleWake(p, now.Add(claimRetryInterval))
 	return nil
 }
 
@@ -370,11 +370,11 @@
 	return r.deliverAction(p, a)
 }
 
-// retryAfter returns the pause after which the caller of a refused request should
+// retryAfter returns the time after which the caller of a refused request should
 // send it again.
 func (p *pending) retryAfter(now cassiatally.Instant) time.Duration {
-	most := float64(p.req.Deadline.Sub(now)) * retryAfterFraction
-	return time.Duration(max(most, 0) * (minRetryAfterFraction + (1-minRetryAfterFraction)*float64(p.req.Order)))
+	maxWait := float64(p.req.Deadline.Sub(now)) * retryAfterFraction
+	return time.Duration(max(maxWait, 0) * (minRetryAfterFraction + (1-minRetryAfterFraction)*float64(p.req.Order)))
 }
 
 func (r *Router) deliverAction(p *pending, a cassiatally.Answer) []cassiatally.Action {
--- a/cassiatally/router/router_test.go
+++ b/cassiatally/router/router_test.go
@@ -581,8 +581,8 @@
 	is.Equal(delivered(t, h.HandleAnswer(start, to, lost(call.ID, to))).Kind, cassiatally.KindOutcomeUnknown)
 }
 
-// Guards against answers that ask refused callers to retry all at the same time, or so
-// late that no time is left.
+// Guards against answers that make refused callers retry all at the same time, or so
+// late that no time remains.
 func TestRetryAfterIsSpread(t *testing.T) {
 	is := is.New(t)
 	var earliest, latest time.Duration
