--- a/cassiatally/registrar/fleettest/fleet_test.go
+++ b/cassiatally/registrar/fleettest/fleet_test.go
@@ -127,8 +127,8 @@
 // run advances virtual time until done holds, and returns how long that took.
 func (f *fleet) run(limit time.Duration, done func() bool) time.Duration {
 	begin := f.now
-	const checkEvery = 5 * step // views of many nodes are slow to build
-	for f.now.Sub(begin) < limit && (f.now.Sub(begin)%checkEvery != 0 || !done()) {
+	const checkInterval = 5 * step // views of many nodes are slow to build
+	for f.now.Sub(begin) < limit && (f.now.Sub(begin)%checkInterval != 0 || !done()) {
 		f.now = f.now.Add(step)
 		arrived := f.inFlight
 		f.inFlight = nil
@@ -350,7 +350,7 @@
 	const size = 64
 	cases := []struct {
 		loss float64
-		// changes are sent at once, versions with heartbeats.
+		// changes are sent immediately, versions with heartbeats.
 		change, version time.Duration
 	}{{0, 4 * time.Second, 9 * time.Second}, {0.1, 6 * time.Second, 11 * time.Second}, {0.3, 12 * time.Second, 15 * time.Second}}
 	for _, c := range cases {
--- a/cassiatally/registrar/merge.go
+++ b/cassiatally/registrar/merge.go
@@ -270,7 +270,7 @@
 	}
 }
 
-// score is the rendezvous hash of a member with the own id. It orders members
+// score is the rendezvous hash of a member with this node's id. It orders members
 // differently on each node, so that nodes keep different ones and load spreads.
 func (r *Registrar) score(id cassiatally.NodeID) uint64 {
 	return xxhash.Sum64String(string(r.cfg.Self.Node) + "\x00" + string(id))
--- a/cassiatally/registrar/registrar.go
+++ b/cassiatally/registrar/registrar.go
@@ -3,9 +3,9 @@
 // heartbeat stops growing is suspected and later removed.
 //
 // A message has entries of three forms. A full entry, which has an address, carries
-// a change, and nodes forward it at once. A heartbeat entry, which has no address,
+// a change, and nodes forward it immediately. A heartbeat entry, which has no address,
 // carries a heartbeat, a load and the revision of the full entry. A query, which has
-// no heartbeat, asks for the full entry; the reply is never forwarded.
+// no heartbeat, requests the full entry; the reply is never forwarded.
 //
 // # Usage
 //
@@ -31,12 +31,12 @@
 )
 
 const (
-	// localPeers and foreignPeers are the numbers of partners, in the own data centre and
-	// in others, that get a message in a round.
+	// localPeers and foreignPeers are the numbers of partners, in this node's data centre
+	// and in others, that get a message in a round.
 	localPeers   = 3
 	foreignPeers = 1
-	// eagerPeers local peers get a change at once; gossip rounds and queries reach the
-	// few that the push misses.
+	// eagerPeers local peers get a change immediately; gossip rounds and queries reach
+	// the few that the push misses.
 	eagerPeers = 3
 	// One in eagerForeign forwards of a change also goes to another data centre.
 	eagerForeign = 4
@@ -58,8 +58,8 @@
 	// Querying half an interval earlier took four times as many queries.
 	directQueryHalfIntervals = 3
 	maxCrashes               = 8
-	// crashPeers local peers get a new crash report at once. With four, a relayed report
-	// misses about one node in fifty, which a round reaches later.
+	// crashPeers local peers get a new crash report immediately. With four, a relayed
+	// report misses about one node in fifty, which a round reaches later.
 	crashPeers = 4
 	// maxForeignHeartbeats bounds the heartbeat entries of other data centres in a
 	// message within a data centre, so that its own heartbeats have room.
@@ -79,9 +79,9 @@
 	// belongs to no member of the table, to find the others again after a partition.
 	probeProbability = 0.2
 
-	// introductionPeers bounds the members to which a node announces itself at once when
-	// it starts. After a restart of all nodes, rounds alone took more than a second until
-	// an entry node had an endpoint of each service in its table.
+	// introductionPeers bounds the members to which a node announces itself immediately
+	// when it starts. After a restart of all nodes, rounds alone took more than a second
+	// until an entry node had an endpoint of each service in its table.
 	introductionPeers = 32
 	// startPeriod is how long after its start a node announces each of its own
 	// changes to as many members.
@@ -162,9 +162,9 @@
 	sent int
 	// score orders members of other data centres; those with the lowest are kept.
 	score uint64
-	// ringPositions has the positions of a member of the own data centre on the rings.
+	// ringPositions has the positions of a member of this data centre on the rings.
 	ringPositions [rings]uint64
-	// logScore orders members of the own data centre as log readers.
+	// logScore orders members of this data centre as log readers.
 	logScore uint64
 }
 
@@ -223,7 +223,7 @@
 func (r *Registrar) Changes() uint64 { return r.changes }
 
 // SetEndpoint records the state of the local backend server. A change of
-// anything but the load is sent to peers at once.
+// anything but the load is sent to peers immediately.
 func (r *Registrar) SetEndpoint(now cassiatally.Instant, e cassiatally.Endpoint) []cassiatally.Action {
 	r.recordStart(now)
 	e.Load.Node = r.cfg.Self.Node
@@ -296,7 +296,7 @@
 	return r.forward([]cassiatally.Member{r.self}, true)
 }
 
-// SetSheetVersion records the version in force here and sends it to peers at once.
+// SetSheetVersion records the version in force here and sends it to peers immediately.
 // It does not change the revision: all nodes change their version together, and
 // that many full entries would exceed the bound on traffic.
 func (r *Registrar) SetSheetVersion(_ cassiatally.Instant, v cassiatally.Version) []cassiatally.Action {
@@ -311,7 +311,7 @@
 func (r *Registrar) SetShardEpochs(e cassiatally.Epoch) { r.shardEpochSum = e }
 
 // SetCrashes records the crash reports that rounds carry, the first maxCrashes of
-// them. New ones are sent at once: until the next round, a caller that sends the
+// them. New ones are sent immediately: until the next round, a caller that sends the
 // request again would crash more backend servers. Receivers do the same, so that a
 // new report spreads to all nodes.
 func (r *Registrar) SetCrashes(reports []cassiatally.CrashReport) []cassiatally.Action {
@@ -380,8 +380,8 @@
 	return append(out, r.probe()...)
 }
 
-// queryHeartbeats queries a partner for the heartbeats of the silent members of the
-// own data centre, and queries directly each member that would soon be suspected.
+// queryHeartbeats queries a partner for the heartbeats of the silent members of
+// this data centre, and queries directly each member that would soon be suspected.
 // With heartbeat entries alone a tenth of 132 members was suspected. Direct queries
 // alone were 40 of a node's 47 messages a second, and used links to all members.
 func (r *Registrar) queryHeartbeats(now cassiatally.Instant) []cassiatally.Action {
@@ -414,7 +414,7 @@
 	return out
 }
 
-// silentMembers returns the members of the own data centre whose heartbeat has not
+// silentMembers returns the members of this data centre whose heartbeat has not
 // grown for half of SuspectAfter, longest first, but suspects last: the members of a
 // failed rack must not use up the queries for others.
 func (r *Registrar) silentMembers(now cassiatally.Instant) []*entry {
@@ -490,15 +490,15 @@
 	}
 	foreign := 0
 	for _, e := range r.freshEntries(now) {
-		own := e.member.DataCentre == r.cfg.DataCentre
-		if !own && foreign == maxForeignHeartbeats {
+		sameDataCentre := e.member.DataCentre == r.cfg.DataCentre
+		if !sameDataCentre && foreign == maxForeignHeartbeats {
 			continue
 		}
-		if !c.add(r.heartbeatEntry(e.member, local && own)) {
+		if !c.add(r.heartbeatEntry(e.member, local && sameDataCentre)) {
 			break
 		}
 		e.sent++
-		if !own {
+		if !sameDataCentre {
 			foreign++
 		}
 	}
@@ -525,7 +525,7 @@
 	return fresh
 }
 
-// peers returns the members of the own data centre, or of all others, sorted by name.
+// peers returns the members of this data centre, or of all others, sorted by name.
 func (r *Registrar) peers(local bool) []cassiatally.NodeID {
 	var ids []cassiatally.NodeID
 	for _, e := range r.order {
@@ -545,9 +545,9 @@
 	return ids[:n]
 }
 
-// forward sends changes to a few peers at once, within the allowance. Changes of
+// forward sends changes to a few peers immediately, within the allowance. Changes of
 // this node itself always go to another data centre, too.
-func (r *Registrar) forward(changed []cassiatally.Member, own bool) []cassiatally.Action {
+func (r *Registrar) forward(changed []cassiatally.Member, ownChange bool) []cassiatally.Action {
 	for _, m := range changed {
 		r.pendingUpdates.add(m)
 	}
@@ -556,7 +556,7 @@
 		c.add(m)
 	}
 	to := r.pickRandom(r.partners(true), eagerPeers)
-	if own || r.rand.IntN(eagerForeign) == 0 {
+	if ownChange || r.rand.IntN(eagerForeign) == 0 {
 		to = append(to, r.pickRandom(r.partners(false), foreignPeers)...)
 	}
 	var out []cassiatally.Action
--- a/cassiatally/registrar/registrar_test.go
+++ b/cassiatally/registrar/registrar_test.go
@@ -92,8 +92,8 @@
 }
 
 // Guards against a new crash report that waits for a round, while the request that
-// caused the crash reaches more backend servers, and against reports that are sent at
-// once more than once.
+// caused the crash reaches more backend servers, and against a second immediate
+// send of the same report.
 func TestCrashReportsAreSentAtOnce(t *testing.T) {
 	is := is.New(t)
 	a, b := twoNodes()
--- a/cassiatally/registrar/view.go
+++ b/cassiatally/registrar/view.go
@@ -43,7 +43,7 @@
 	// Candidates leaves out suspects, unless all ready endpoints of a service are
 	// suspects.
 	Candidates []cassiatally.Candidate
-	// Local has the members of the own data centre that are neither suspected nor
+	// Local has the members of this node's data centre that are neither suspected nor
 	// leaving.
 	Local []cassiatally.NodeRef
 	// LogReaders are the members of Local that follow the log.
