--- a/cassiatally/runner/children.go
+++ b/cassiatally/runner/children.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// spendRetry spends a retry of the root request and reports whether one was left.
+// spendRetry spends a retry of the root request and reports whether one remained.
 // Retries by backend servers multiply along the call chain unless they come out
 // of the same budget as those of the nodes.
 func (c *children) spendRetry() bool {
--- a/cassiatally/runner/crash.go
+++ b/cassiatally/runner/crash.go
@@ -15,7 +15,7 @@
 	// acknowledge a crash. It is half the time after which the link to a peer counts
 	// as dead, so a paused node delays those callers only.
 	maxWithhold = 500 * time.Millisecond
-	// crashResendInterval is the pause before crash reports are sent again, since the
+	// crashResendInterval is the time before crash reports are sent again, since the
 	// first message may have been lost with its link.
 	crashResendInterval = 100 * time.Millisecond
 )
@@ -36,9 +36,9 @@
 // peers of its own service receive each crash report directly.
 func (r *Runner) SetPeers(now cassiatally.Instant, peers map[cassiatally.Service][]cassiatally.NodeID) []cassiatally.Action {
 	r.peers = peers
-	own := peers[r.endpoint.Service]
+	servicePeers := peers[r.endpoint.Service]
 	for _, c := range r.unacknowledgedCrashes {
-		c.unacknowledgedBy = slices.DeleteFunc(c.unacknowledgedBy, func(n cassiatally.NodeID) bool { return !slices.Contains(own, n) })
+		c.unacknowledgedBy = slices.DeleteFunc(c.unacknowledgedBy, func(n cassiatally.NodeID) bool { return !slices.Contains(servicePeers, n) })
 	}
 	return r.releaseAnswers(nil, now)
 }
--- a/cassiatally/runner/recoverytest/fleet_test.go
+++ b/cassiatally/runner/recoverytest/fleet_test.go
@@ -21,8 +21,8 @@
 const (
 	linkDelay           = time.Millisecond
 	callerDelay         = time.Millisecond
-	tickEvery           = 20 * time.Millisecond
-	gossipEvery         = time.Second
+	tickInterval        = 20 * time.Millisecond
+	gossipInterval      = time.Second
 	announceTTL         = 3 * time.Second
 	endpointsPerService = 4
 	retries             = 2
@@ -140,10 +140,10 @@
 	}
 	f.gossip()
 	for _, h := range f.nodes {
-		h.every(tickEvery, h.tick)
+		h.every(tickInterval, h.tick)
 		h.every(time.Second, func() { h.carryOut(h.runner.Announce(f.now, h.announced(), announceTTL)) })
 	}
-	f.every(gossipEvery, f.gossip)
+	f.every(gossipInterval, f.gossip)
 	return f
 }
 
@@ -201,7 +201,7 @@
 		})
 		levels[h.ref.Node] = cassiatally.ServiceLoad{Service: e.Service, Weight: float64(e.Load.Limit), Levels: e.Levels}
 	}
-	f.after(gossipEvery/2, func() {
+	f.after(gossipInterval/2, func() {
 		for _, h := range f.nodes {
 			h.balancer.Update(f.now, all)
 			for _, other := range f.nodes {
--- a/cassiatally/runner/result.go
+++ b/cassiatally/runner/result.go
@@ -10,7 +10,7 @@
 	firstServerError    = 500
 	internalServerError = 500
 	gatewayTimeout      = 504
-	// deadlineMargin is how long before its deadline a backend server may give up a
+	// deadlineMargin is how long before its deadline a backend server may abandon a
 	// run: the remaining time is sent in whole milliseconds, and the answer takes
 	// time to arrive.
 	deadlineMargin = 20 * time.Millisecond
--- a/cassiatally/runner/runner_test.go
+++ b/cassiatally/runner/runner_test.go
@@ -318,7 +318,7 @@
 	is.Equal(started(got), []cassiatally.CallID{call(5, "").ID})
 }
 
-// Guards against queued calls that wait for a backend server that is gone until its
+// Guards against queued calls that wait for a backend server that is down until its
 // announcement expires.
 func TestQueuedCallsAreRefusedWhenTheBackendServerIsLost(t *testing.T) {
 	for _, kind := range []cassiatally.RunResultKind{cassiatally.ResultBroken, cassiatally.ResultUnreached} {
--- a/cassiatally/runner/stall.go
+++ b/cassiatally/runner/stall.go
@@ -11,7 +11,7 @@
 	// stallFactor is the number of typical self times without any progress after
 	// which a backend server counts as stalled.
 	stallFactor = 2
-	// minStalledRuns is the least number of runs that must be in flight for that.
+	// minStalledRuns is the minimum number of runs that must be in flight for that.
 	// Even when run times are exponentially distributed, the probability that this
 	// many make no progress for so long is e^-16.
 	minStalledRuns = 8
