--- a/cassiatally/assigner/assigner.go
+++ b/cassiatally/assigner/assigner.go
@@ -5,7 +5,7 @@
 // The order of the log alone decides between assignments. An assignment wins when
 // its epoch is the next after the epoch in force at its offset, and when it is a
 // transition that a correct node makes: its holder is the holder or the standby
-// of the epoch in force, or it gives up the earlier claims by naming its own epoch
+// of the epoch in force, or it discards the earlier claims by naming its own epoch
 // as CompleteFrom. The epoch in force never decreases.
 //
 // A reader whose log was truncated takes a re-appended record or a peer's table as
@@ -34,7 +34,7 @@
 //	a.Adopt(table)
 //
 // A node that does not follow the log depends on the tables of its peers alone.
-// While NeedsTable reports true, the owner asks a peer for its whole table.
+// While NeedsTable reports true, the owner requests the whole table of a peer.
 //
 // An Assigner is not safe for concurrent use. Snapshot returns an immutable view.
 package assigner
@@ -54,7 +54,7 @@
 	// can act. They are few, and may all be late in rendezvous order.
 	maxReaderDelay = 3 * turnDelay
 	// orphanGrace is how long holder and standby must both be absent. The member
-	// table of a node that has just started is incomplete, and a new pair gives up
+	// table of a node that has just started is incomplete, and a new pair discards
 	// the claims of the shard.
 	orphanGrace = 5 * time.Second
 	// rebaseGrace is how long a reader of a truncated log waits for a base before it
@@ -63,9 +63,9 @@
 	// maxHeldRecords bounds the records of a shard that wait for a base. A shard has
 	// only a few records within the retention of the log.
 	maxHeldRecords = 256
-	// appendRetry is the least time between two appends of one shard, also while the
+	// appendInterval is the minimum time between two appends of one shard, also while the
 	// log is down.
-	appendRetry = time.Second
+	appendInterval = time.Second
 	// reappendDivisor divides the retention of a record: the holder appends it again
 	// after half of it. The other half is left for outages of the log.
 	reappendDivisor = 2
@@ -289,7 +289,7 @@
 	return changed
 }
 
-// NeedsTable reports whether the owner has to ask a peer for its whole table,
+// NeedsTable reports whether the owner has to request the whole table of a peer,
 // because a shard has no base.
 func (a *Assigner) NeedsTable() bool {
 	for i := range a.shards {
@@ -390,7 +390,7 @@
 		if !due {
 			as, due = a.dueReappend(now, s)
 		}
-		if !due || (s.appended && !now.Reached(s.appendedAt.Add(appendRetry))) {
+		if !due || (s.appended && !now.Reached(s.appendedAt.Add(appendInterval))) {
 			continue
 		}
 		s.appended = true
--- a/cassiatally/assigner/assigner_test.go
+++ b/cassiatally/assigner/assigner_test.go
@@ -118,7 +118,7 @@
 	is.True(a.NeedsTable())
 }
 
-// Guards against several nodes that append the first assignment at once, and
+// Guards against several nodes that append the first assignment concurrently, and
 // against a pair that is replaced before the member table is complete.
 func TestFirstAssignmentIsOneNodesTurn(t *testing.T) {
 	is := is.New(t)
--- a/cassiatally/claimer/claimer.go
+++ b/cassiatally/claimer/claimer.go
@@ -37,8 +37,8 @@
 )
 
 const (
-	// appendRetry is the time between a failed append and the next one.
-	appendRetry = time.Second
+	// appendRetryInterval is the time between a failed append and the next one.
+	appendRetryInterval = time.Second
 	// appendTimeout is how long to wait for the result of an append, or for the
 	// appended record to be read back, before appending again.
 	appendTimeout = 10 * time.Second
@@ -191,7 +191,7 @@
 	}
 }
 
-// dropClaim removes a claim. Its waiting calls get the answer at once, or the
+// dropClaim removes a claim. Its waiting calls get the answer immediately, or the
 // outcome of the run when one is in flight.
 func (c *Claimer) dropClaim(s *shard, cl *claim, a cassiatally.Answer) {
 	delete(s.claims, cl.key)
@@ -219,7 +219,7 @@
 
 // AppendFailed reports that an assignment may not have been written.
 func (c *Claimer) AppendFailed(now cassiatally.Instant, a cassiatally.Assignment) []cassiatally.Action {
-	c.rescheduleProposal(a, now.Add(appendRetry))
+	c.rescheduleProposal(a, now.Add(appendRetryInterval))
 	return nil
 }
 
--- a/cassiatally/follower/follower.go
+++ b/cassiatally/follower/follower.go
@@ -26,16 +26,16 @@
 	// Stream is the stream of the log that holds the sheets.
 	Stream = cassiatally.Stream("sheet")
 
-	// pullInterval is the least time between two pulls of records from peers.
+	// pullInterval is the minimum time between two pulls of records from peers.
 	pullInterval = 200 * time.Millisecond
 	// searchTimeout and searchPeers bound how long a node that starts without a
-	// sheet asks its peers for a higher version before it puts one in force.
+	// sheet queries its peers for a higher version before it puts one in force.
 	searchTimeout = 2 * time.Second
 	searchPeers   = 2
 	// reappendDivisor divides the retention: the record in force is appended again
 	// when a quarter of it is left. That leaves time for an outage of the log.
 	reappendDivisor = 4
-	// reappendInterval is the least time between two appends of the record in force.
+	// reappendInterval is the minimum time between two appends of the record in force.
 	reappendInterval = 5 * time.Second
 	// reappendJitter bounds the random delay that keeps two log readers from
 	// appending at the same time.
