--- a/cassiatally/limiter/limiter.go
+++ b/cassiatally/limiter/limiter.go
@@ -499,11 +499,11 @@
 // cutLimit lowers the limit to where self time is expected to be near its floor.
 func (l *Limiter) cutLimit(now cassiatally.Instant, mean float64) {
 	l.saveNormal(now)
-	least := minCutFactor
+	minFactor := minCutFactor
 	if l.spread <= lowSpread {
-		least = furtherCutFactor
+		minFactor = furtherCutFactor
 	}
-	l.lowerLimit(now, mean, max(cutTarget*l.floor/mean, least), false)
+	l.lowerLimit(now, mean, max(cutTarget*l.floor/mean, minFactor), false)
 }
 
 // probe halves the limit for a test that measures the floor.
--- a/cassiatally/limiter/model_test.go
+++ b/cassiatally/limiter/model_test.go
@@ -10,8 +10,8 @@
 
 const window = 100 * time.Millisecond
 
-// server simulates a backend server that runs at most realSlots requests at once and
-// queues the others internally, which shows only in their self time.
+// server simulates a backend server that runs at most realSlots requests concurrently
+// and queues the others internally, which shows only in their self time.
 type server struct {
 	limiter   cassiatally.Limiter
 	slots     cassiatally.Concurrency
--- a/cassiatally/loadtracker/loadtracker.go
+++ b/cassiatally/loadtracker/loadtracker.go
@@ -35,7 +35,7 @@
 	// answer has the level of one endpoint only.
 	answerWeight = 0.18
 	// answerSmoothing is the time constant of the smoothed levels where answers are few.
-	// With answerWeight alone, an entry with ten answers a second went on refusing for
+	// With answerWeight alone, an entry with ten answers a second kept refusing for
 	// two seconds after endpoints had recovered.
 	answerSmoothing = 100 * time.Millisecond
 	// The smoothed levels from answers count as much as the reports of answerEndpoints
--- a/cassiatally/loadtracker/loadtracker_test.go
+++ b/cassiatally/loadtracker/loadtracker_test.go
@@ -117,16 +117,16 @@
 	is.True(l.Level(0, "avail", 0) < 0.11)
 }
 
-// Guards against an entry with few answers that goes on refusing long after the
+// Guards against an entry with few answers that keeps refusing long after the
 // endpoints have recovered.
 func TestFewAnswersHaveMoreWeight(t *testing.T) {
-	const pause = 100 * time.Millisecond
+	const interval = 100 * time.Millisecond
 	is := is.New(t)
 	l := &loadtracker.Tracker{}
 	now := cassiatally.Instant(time.Second)
 	l.RecordChain(now, "avail", "check", []cassiatally.ServiceLoad{load("avail", 10, 0.1)})
 	for range 5 {
-		now = now.Add(pause)
+		now = now.Add(interval)
 		l.RecordChain(now, "avail", "check", []cassiatally.ServiceLoad{load("avail", 10, 1)})
 	}
 	is.True(l.Level(now, "avail", 0) > 0.95)
@@ -135,7 +135,7 @@
 // Guards against an entry that detects late that a service has recovered: at a low level
 // few requests pass, so few answers arrive, while gossip repeats old levels.
 func TestFewAnswersShowARecovery(t *testing.T) {
-	const apart, most = 250 * time.Millisecond, time.Second
+	const interval, maxDelay = 250 * time.Millisecond, time.Second
 	is := is.New(t)
 	l := &loadtracker.Tracker{}
 	for range 20 {
@@ -145,11 +145,11 @@
 		l.RecordEndpoint(0, cassiatally.NodeID(fmt.Sprint("n", i)), load("avail", 10, 0.1))
 	}
 	now := cassiatally.Instant(0)
-	for l.Level(now, "avail", 0) < 0.6 && now.Before(cassiatally.Instant(2*most)) {
-		now = now.Add(apart)
+	for l.Level(now, "avail", 0) < 0.6 && now.Before(cassiatally.Instant(2*maxDelay)) {
+		now = now.Add(interval)
 		l.RecordChain(now, "avail", "check", []cassiatally.ServiceLoad{load("avail", 10, 1)})
 	}
-	is.True(now.Sub(0) <= most)
+	is.True(now.Sub(0) <= maxDelay)
 }
 
 // Guards against refusing a kind of work because of the level of a service that it no
