--- a/cassiatally/instancetracker/tracker.go
+++ b/cassiatally/instancetracker/tracker.go
@@ -1,5 +1,5 @@
 // Package instancetracker determines which instance of a backend server currently
-// serves the address beside a node, and its state. Reports may arrive late, more
+// serves the backend address of a node, and its state. Reports may arrive late, more
 // than once and from instances that have ended.
 //
 // # Usage
--- a/cassiatally/logclient/client.go
+++ b/cassiatally/logclient/client.go
@@ -39,9 +39,9 @@
 	// MaxRecordBytes bounds a record.
 	MaxRecordBytes = 1 << 20
 
-	// maxRecords is the number of records that a read asks for.
+	// maxRecords is the number of records that a read requests.
 	maxRecords = 100
-	// minRecords is what a read asks for at the least, when single records fill a
+	// minRecords is the minimum that a read requests, when single records fill a
 	// response.
 	minRecords = 1
 	// maxResponseBytes bounds a response: four records of MaxRecordBytes in base64.
@@ -99,7 +99,7 @@
 }
 
 // Read returns records from the offset on and waits up to wait for the first one.
-// When the response is too large, it asks for fewer records.
+// When the response is too large, it requests fewer records.
 func (c *Client) Read(ctx context.Context, s cassiatally.Stream, from cassiatally.Offset, wait time.Duration) (cassiatally.Batch, error) {
 	count := maxRecords
 	for {
--- a/cassiatally/publisher/publisher.go
+++ b/cassiatally/publisher/publisher.go
@@ -119,7 +119,7 @@
 	backoff time.Duration
 
 	sent bool
-	// acceptedAt is the offset of the own record once it was read as accepted.
+	// acceptedAt is the offset of this publisher's record once it was read as accepted.
 	acceptedAt *cassiatally.Offset
 }
 
@@ -154,9 +154,9 @@
 		r.Publisher == a.record.Publisher && r.Digest == a.record.Digest
 }
 
-// decided reports whether the records read determine the result: the own record
-// was accepted, it can no longer be because another version than basedOn is in
-// force, or the log has no base.
+// decided reports whether the records read determine the result: this
+// publisher's record was accepted, it can no longer be because another version than
+// basedOn is in force, or the log has no base.
 func (a *attempt) decided() bool {
 	current, _ := a.reader.Folder.Current()
 	return a.acceptedAt != nil || !a.reader.Folder.HasBase() || current.Version != a.record.BasedOn
--- a/cassiatally/quarantiner/quarantiner.go
+++ b/cassiatally/quarantiner/quarantiner.go
@@ -46,7 +46,7 @@
 	// maxReports bounds the reports of a gossip message.
 	maxReports = 8
 	// reportInterval matches the gossip interval, so that each set of reports is sent
-	// even when the owner asks for reports more often.
+	// even when the owner calls Reports more often.
 	reportInterval = time.Second
 )
 
--- a/cassiatally/quarantiner/quarantiner_test.go
+++ b/cassiatally/quarantiner/quarantiner_test.go
@@ -123,7 +123,7 @@
 }
 
 // Guards against reports that are never sent because others of the same time fill
-// each message, when the owner asks for reports more often than gossip sends them.
+// each message, when the owner calls Reports more often than gossip sends messages.
 func TestAllReportsAreSentInTurn(t *testing.T) {
 	is := is.New(t)
 	q := nodes("a")[0]
