--- a/cassiatally/ids.go
+++ b/cassiatally/ids.go
@@ -67,8 +67,8 @@
 // CallOrigin identifies the incarnation of a node that assigned the id of a call.
 type CallOrigin uint64
 
-// CallOriginOf returns the origin of a node. The hash includes the node's name besides
-// its incarnation, since nodes that start in the same microsecond have equal
+// CallOriginOf returns the origin of a node. The hash includes the node's name as
+// well as its incarnation, since nodes that start in the same microsecond have equal
 // incarnations.
 func CallOriginOf(r NodeRef) CallOrigin {
 	h := xxhash.New()
--- a/cassiatally/message.go
+++ b/cassiatally/message.go
@@ -19,7 +19,7 @@
 type Stage uint8
 
 const (
-	// StageRun asks the node beside a backend server to run the request.
+	// StageRun asks the node of a backend server to run the request.
 	StageRun Stage = iota
 	// StageClaim asks the holder of the key's shard to claim the key and to have
 	// the request run once.
@@ -97,7 +97,7 @@
 // Cancel cancels a Call, since its sender no longer waits for the answer.
 type Cancel struct{ ID CallID }
 
-// RunQuery asks for the outcome of a Call whose link was lost. A node that has not
+// RunQuery queries the outcome of a Call whose link was lost. A node that has not
 // received the call voids its id, so that a delayed copy is never run. Target is the
 // incarnation that the call was sent to; another one has no record of it.
 type RunQuery struct {
@@ -107,7 +107,7 @@
 	Request RequestTag
 }
 
-// KeyQuery asks the holder of a shard for the outcome of a key.
+// KeyQuery queries the holder of a shard for the outcome of a key.
 type KeyQuery struct {
 	ID  CallID
 	Key Key
@@ -214,7 +214,7 @@
 	Clears uint16
 }
 
-// SheetPull asks for the sheet in force when it is newer than Have.
+// SheetPull requests the sheet in force when it is newer than Have.
 type SheetPull struct{ Have Version }
 
 // SheetRecord is an accepted sheet, as it is stored in the log and sent between nodes.
@@ -243,7 +243,7 @@
 	ReadTo Offset
 }
 
-// ShardPull asks a node for its shard table.
+// ShardPull requests the shard table of a node.
 type ShardPull struct{ Have Epoch }
 
 // ShardTable has the assignments of a data centre.
--- a/cassiatally/routetable.go
+++ b/cassiatally/routetable.go
@@ -62,7 +62,7 @@
 	return ServiceSpec{}, false
 }
 
-// RoutePull asks for the route table in force when it is newer than Have.
+// RoutePull requests the route table in force when it is newer than Have.
 type RoutePull struct{ Have Version }
 
 // RouteUpdate answers a RoutePull with the newer table.
