--- a/node/linker/linker.go
+++ b/node/linker/linker.go
@@ -36,11 +36,11 @@
 	// dialTimeout bounds the opening of a link, including the handshake: three round
 	// trips of 110 ms between regions, and a margin. Calls wait while a link is opened.
 	dialTimeout = 500 * time.Millisecond
-	// minRedialPause is the time from the first failed attempt to open a link to the
-	// next one. The pause doubles up to maxRedialPause. Without it each call to a dead
+	// minRedialBackoff is the time from the first failed attempt to open a link to the
+	// next one. The backoff doubles up to maxRedialBackoff. Without it each call to a dead
 	// node would cost a dial.
-	minRedialPause = 200 * time.Millisecond
-	maxRedialPause = 2 * time.Second
+	minRedialBackoff = 200 * time.Millisecond
+	maxRedialBackoff = 2 * time.Second
 	// The node that opened a link closes it after requestIdleTimeout without a request
 	// and controlIdleTimeout without any other message but heartbeats.
 	// requestIdleTimeout exceeds the longest timeout of a request, so that no call is
@@ -56,7 +56,7 @@
 	// stallThreshold is how late the timer of a link may fire. After a longer stall of
 	// this process, what has arrived meanwhile is read before the link is checked.
 	stallThreshold = 100 * time.Millisecond
-	// minCheckInterval is the least time between two checks of a link.
+	// minCheckInterval is the minimum time between two checks of a link.
 	minCheckInterval = 5 * time.Millisecond
 	// linkPath is the HTTP path at which nodes accept links.
 	linkPath = "/v1/link"
@@ -118,8 +118,8 @@
 
 // dialFailure is the last failed attempt to open a link to an address.
 type dialFailure struct {
-	at    time.Time
-	pause time.Duration
+	at      time.Time
+	backoff time.Duration
 }
 
 // OpenListener opens the listener, which sets the address of this node before the first
@@ -236,7 +236,7 @@
 		return nil, cassiatally.NewError(cassiatally.KindUnreachable, "the node stops")
 	}
 	f, failed := l.failures[to]
-	if failed && time.Since(f.at) < f.pause {
+	if failed && time.Since(f.at) < f.backoff {
 		return nil, cassiatally.NewError(cassiatally.KindUnreachable, "address %s could not be reached a moment ago", to)
 	}
 	k := newLink(l, to)
@@ -273,8 +273,8 @@
 
 func (l *Linker) dialFailed(k *link, err error) {
 	l.mu.Lock()
-	pause := min(2*l.failures[k.addr].pause, maxRedialPause)
-	l.failures[k.addr] = dialFailure{at: time.Now(), pause: max(pause, minRedialPause)}
+	backoff := min(2*l.failures[k.addr].backoff, maxRedialBackoff)
+	l.failures[k.addr] = dialFailure{at: time.Now(), backoff: max(backoff, minRedialBackoff)}
 	if len(l.failures) > maxFailedAddresses {
 		clear(l.failures)
 	}
--- a/node/linker/linker_test.go
+++ b/node/linker/linker_test.go
@@ -267,7 +267,7 @@
 	l, err := net.Listen("tcp", string(address))
 	is.NoErr(err)
 	defer l.Close()
-	time.Sleep(300 * time.Millisecond) // longer than the pause before the next dial
+	time.Sleep(300 * time.Millisecond) // longer than the backoff before the next dial
 	is.Equal(cassiatally.KindOf(one.Send("two", call)), cassiatally.KindUnreachable)
 	is.Equal(len(one.undelivered), 0)
 }
