--- a/node/introducer/introducer.go
+++ b/node/introducer/introducer.go
@@ -22,24 +22,25 @@
 const (
 	// callTimeout bounds a call to the store.
 	callTimeout = time.Second
-	// retryPause is the pause after a failed call. A node that starts while the store is
-	// unavailable has to be discovered within two seconds of the store's return.
-	retryPause = 500 * time.Millisecond
+	// retryInterval is the time to the next call after a failed one. A node that starts
+	// while the store is unavailable has to be discovered within two seconds of the
+	// store's return.
+	retryInterval = 500 * time.Millisecond
 	// aloneCheckInterval is the time between checks whether the node is alone, after those
-	// of earlyCheckPauses.
+	// of earlyCheckIntervals.
 	aloneCheckInterval = 3 * time.Second
 )
 
-// earlyCheckPauses are the pauses before the first checks whether the node is alone. Of
-// the nodes that start together, the first one loads the members before any other has
+// earlyCheckIntervals are the times before the first checks whether the node is alone.
+// Of the nodes that start together, the first one loads the members before any other has
 // saved its address. Nodes that have discovered each other spread that by gossip.
-var earlyCheckPauses = []time.Duration{300 * time.Millisecond, 1500 * time.Millisecond}
+var earlyCheckIntervals = []time.Duration{300 * time.Millisecond, 1500 * time.Millisecond}
 
 // Introducer is the duty. Its fields are set before Run.
 type Introducer struct {
 	Store cassiatally.MemberStore
 	Self  cassiatally.Member
-	// Alone reports whether the node has no live member besides itself in its member
+	// Alone reports whether the node has no live member other than itself in its member
 	// table.
 	Alone func() bool
 	// OnLoad is called with the members in the store after each load; it must not block.
@@ -67,8 +68,8 @@
 	if !i.register(ctx) {
 		return
 	}
-	for _, pause := range earlyCheckPauses {
-		if !wait(ctx, pause) {
+	for _, interval := range earlyCheckIntervals {
+		if !wait(ctx, interval) {
 			return
 		}
 		if i.Alone() {
@@ -96,7 +97,7 @@
 		if err == nil {
 			return true
 		}
-		if !wait(ctx, retryPause) {
+		if !wait(ctx, retryInterval) {
 			return false
 		}
 	}
--- a/node/logdriver/driver.go
+++ b/node/logdriver/driver.go
@@ -1,5 +1,5 @@
 // Package logdriver reads and appends to the log for the duties of a node, with common
-// timeouts and retry pauses.
+// timeouts and retry intervals.
 //
 // # Usage
 //
@@ -18,9 +18,9 @@
 
 const (
 	longPoll = 2 * time.Second
-	// readRetry is the pause after a failed read of the log.
-	readRetry     = 500 * time.Millisecond
-	appendTimeout = 3 * time.Second
+	// readRetryInterval is the time to the next read of the log after a failed one.
+	readRetryInterval = 500 * time.Millisecond
+	appendTimeout     = 3 * time.Second
 )
 
 // Driver reads and appends to the log.
@@ -30,11 +30,11 @@
 }
 
 // Read waits for records from an offset on, up to longPoll. It returns an error only
-// after a pause, so that the caller may retry at once.
+// after readRetryInterval, so that the caller may retry immediately.
 func (d *Driver) Read(ctx context.Context, s cassiatally.Stream, from cassiatally.Offset) (cassiatally.Batch, error) {
 	batch, err := d.Log.Read(ctx, s, from, longPoll)
 	if err != nil {
-		sleep(ctx, readRetry)
+		sleep(ctx, readRetryInterval)
 	}
 	return batch, err
 }
--- a/node/routekeeper/routekeeper.go
+++ b/node/routekeeper/routekeeper.go
@@ -25,11 +25,11 @@
 const (
 	inboxSize    = 256
 	tickInterval = time.Second
-	// minRetryPause and maxRetryPause bound the pause between attempts to read the source
+	// minRetryBackoff and maxRetryBackoff bound the time between attempts to read the source
 	// while it is unavailable.
-	minRetryPause = 100 * time.Millisecond
-	maxRetryPause = time.Second
-	// minPullInterval is the least time between two pulls of the same version.
+	minRetryBackoff = 100 * time.Millisecond
+	maxRetryBackoff = time.Second
+	// minPullInterval is the minimum time between two pulls of the same version.
 	minPullInterval = 200 * time.Millisecond
 )
 
@@ -137,7 +137,7 @@
 
 // readSource is the duty that waits for new tables at the source.
 func (k *Keeper) readSource() {
-	pause := minRetryPause
+	backoff := minRetryBackoff
 	lost := false
 	for {
 		table, err := k.Source.Next(k.ctx)
@@ -148,7 +148,7 @@
 			if lost {
 				k.Logger.Info("route source regained", "version", table.Version)
 			}
-			lost, pause = false, minRetryPause
+			lost, backoff = false, minRetryBackoff
 			k.inbox.Push(k.ctx, tableEvent{table: table})
 			continue
 		case !lost:
@@ -156,11 +156,11 @@
 			k.Logger.Warn("route source lost", "error", err)
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		case <-k.ctx.Done():
 			return
 		}
-		pause = min(2*pause, maxRetryPause)
+		backoff = min(2*backoff, maxRetryBackoff)
 	}
 }
 
