--- a/node/claimkeeper/claimkeeper.go
+++ b/node/claimkeeper/claimkeeper.go
@@ -34,7 +34,7 @@
 	resultReserve  = 1024
 	tickInterval   = 100 * time.Millisecond
 	appendRingSize = 64
-	// minPullInterval is the least time between two requests for the table of a data
+	// minPullInterval is the minimum time between two requests for the table of a data
 	// centre.
 	minPullInterval = 500 * time.Millisecond
 	// foreignTableTTL is the age at which the table of another data centre is requested
@@ -91,7 +91,7 @@
 	k.appends = ring.New[cassiatally.Assignment](appendRingSize, ring.RefuseNewest)
 	k.foreignTables = make(map[cassiatally.DataCentre]foreignTable)
 	k.pulledAt = make(map[cassiatally.DataCentre]cassiatally.Instant)
-	k.view.Store(&shardView{ownDataCentre: k.DataCentre, own: k.Assigner.Snapshot()})
+	k.view.Store(&shardView{ownDataCentre: k.DataCentre, ownView: k.Assigner.Snapshot()})
 	k.duty = looper.Looper[event]{
 		Clock:    k.Clock,
 		Inbox:    k.inbox,
--- a/node/claimkeeper/tables.go
+++ b/node/claimkeeper/tables.go
@@ -15,7 +15,7 @@
 // data centres, from their tables. It is immutable.
 type shardView struct {
 	ownDataCentre cassiatally.DataCentre
-	own           cassiatally.ShardView
+	ownView       cassiatally.ShardView
 	foreignTables map[cassiatally.DataCentre]foreignTable
 	table         []cassiatally.Assignment
 }
@@ -32,7 +32,7 @@
 // HolderOf returns the holder of a shard and its epoch, or false when there is none.
 func (v trackedView) HolderOf(s cassiatally.ShardRef) (cassiatally.NodeRef, cassiatally.Epoch, bool) {
 	if s.DataCentre == v.ownDataCentre {
-		return v.own.HolderOf(s)
+		return v.ownView.HolderOf(s)
 	}
 	v.keeper.wantedTables.Store(s.DataCentre, struct{}{})
 	as, ok := v.foreignTables[s.DataCentre].holders[s]
@@ -57,16 +57,16 @@
 }
 
 func (k *Keeper) mergeTable(now cassiatally.Instant, t cassiatally.ShardTable) {
-	var own []cassiatally.Assignment
+	var ownAssignments []cassiatally.Assignment
 	changed := false
 	for _, as := range t.Assignments {
 		if as.Shard.DataCentre == k.DataCentre {
-			own = append(own, as)
+			ownAssignments = append(ownAssignments, as)
 			continue
 		}
 		changed = k.mergeForeign(now, as) || changed
 	}
-	if len(own) > 0 && k.Assigner.Adopt(cassiatally.ShardTable{Assignments: own, Next: t.Next}) {
+	if len(ownAssignments) > 0 && k.Assigner.Adopt(cassiatally.ShardTable{Assignments: ownAssignments, Next: t.Next}) {
 		changed = true
 		k.tableChanged(now)
 	}
@@ -105,8 +105,8 @@
 	k.sendToPairs(changed)
 }
 
-// sendToPairs sends changed assignments to their holders and standbys at once. Gossip
-// would take a second or more, during which the shard is unavailable.
+// sendToPairs sends changed assignments to their holders and standbys immediately.
+// Gossip would take a second or more, during which the shard is unavailable.
 func (k *Keeper) sendToPairs(changed []cassiatally.Assignment) {
 	next := k.Assigner.CoveredTo()
 	for _, as := range changed {
@@ -183,5 +183,5 @@
 	for dc, t := range k.foreignTables {
 		foreign[dc] = t
 	}
-	k.view.Store(&shardView{ownDataCentre: k.DataCentre, own: k.Assigner.Snapshot(), foreignTables: foreign, table: k.Assigner.Table().Assignments})
+	k.view.Store(&shardView{ownDataCentre: k.DataCentre, ownView: k.Assigner.Snapshot(), foreignTables: foreign, table: k.Assigner.Table().Assignments})
 }
