--- a/node/gatekeeper/gatekeeper.go
+++ b/node/gatekeeper/gatekeeper.go
@@ -74,7 +74,7 @@
 	// than two and a half times as long as others. Endpoints of a service differ in speed
 	// by a factor of two, and traffic between data centres costs more than that time.
 	remoteMargin = 1.5
-	// noSlowStart turns slow start off: nodes restart beside endpoints that go on
+	// noSlowStart turns slow start off: nodes restart while their endpoints keep
 	// running, and a cold endpoint is recognised by the run times of its first answers.
 	noSlowStart time.Duration = -1
 	// retrySlack is the number of retries per window that a node may send regardless of
--- a/node/gatekeeper/gatekeeper_test.go
+++ b/node/gatekeeper/gatekeeper_test.go
@@ -206,7 +206,7 @@
 	}
 }
 
-// twoNodes starts an entry node beside depot-svc and a node beside avail-svc. Runs of
+// twoNodes starts an entry node for depot-svc and a node for avail-svc. Runs of
 // depot-svc call avail-svc.
 func twoNodes(t testing.TB, avail *backend) (*fleet, *gatekeeper.Gatekeeper, *gatekeeper.Gatekeeper) {
 	f := &fleet{store: newStore()}
@@ -261,7 +261,7 @@
 }
 
 // Guards against a call chain that is not served from end to end: from the entry node to
-// the run, and from the run's onward call through the node beside it to its run.
+// the run, and from the run's onward call through its node to the run of that call.
 func TestWholePath(t *testing.T) {
 	is := is.New(t)
 	var calls []cassiatally.Call
@@ -485,7 +485,7 @@
 	}
 }
 
-// Guards against a node that, after a restart beside a running backend server, leaves it
+// Guards against a node that, after a restart with a running backend server, leaves it
 // unused until its next report because one health check failed.
 func TestHealthCheckAfterARestartFailsOnce(t *testing.T) {
 	f := &fleet{store: newStore()}
