--- a/node/executor/executor.go
+++ b/node/executor/executor.go
@@ -340,7 +340,7 @@
 	x.logResult(e)
 	x.carryOut(now, x.Runner.Finished(now, e.id, e.res))
 	if e.res.Kind == cassiatally.ResultBroken {
-		x.reportEndpoint(now) // the lost endpoint and the crash reports go to all members at once
+		x.reportEndpoint(now) // the lost endpoint and the crash reports go to all members immediately
 	}
 }
 
--- a/node/forwarder/forwarder.go
+++ b/node/forwarder/forwarder.go
@@ -29,7 +29,7 @@
 	chainRetries cassiatally.RetryCount = 32
 	// defaultTimeout applies to requests without a deadline on routes without a timeout.
 	defaultTimeout = 30 * time.Second
-	// refusalRetryAfter is the pause that callers are asked for when a request is refused
+	// refusalRetryAfter is the Retry-After time that callers get when a request is refused
 	// because the node has no routes yet or is overloaded.
 	refusalRetryAfter = 500 * time.Millisecond
 )
--- a/node/main.go
+++ b/node/main.go
@@ -1,5 +1,5 @@
-// Command cassiatally-node runs beside a backend server and controls its load; see
-// README.md.
+// Command cassiatally-node runs on the host of a backend server and controls its load;
+// see README.md.
 package main
 
 import (
--- a/node/memberkeeper/memberkeeper.go
+++ b/node/memberkeeper/memberkeeper.go
@@ -38,7 +38,7 @@
 	// OnView is called by the duty with each new view; it must not block.
 	OnView func(*registrar.View)
 	// OnGossip is called by the duty with each gossip message, for what it carries
-	// besides members; it must not block.
+	// other than members; it must not block.
 	OnGossip func(cassiatally.Gossip)
 
 	inbox         *ring.Ring[event]
