--- a/scenarios/fleet_test.go
+++ b/scenarios/fleet_test.go
@@ -341,9 +341,9 @@
 }
 
 func programPath(program string) string {
-	own := filepath.Join(binaries, program)
-	if _, err := os.Stat(own); err == nil {
-		return own
+	built := filepath.Join(binaries, program)
+	if _, err := os.Stat(built); err == nil {
+		return built
 	}
 	return program
 }
--- a/scenarios/measurement_test.go
+++ b/scenarios/measurement_test.go
@@ -83,11 +83,11 @@
 }
 
 func maxCount(counts map[string]int) int {
-	most := 0
+	maximum := 0
 	for _, n := range counts {
-		most = max(most, n)
+		maximum = max(maximum, n)
 	}
-	return most
+	return maximum
 }
 
 // cmdTable reads a load table as JSON and sets PREFIX_PHASE_CLASS_FIELD for each
