--- a/standin/backendserver/backendserver.go
+++ b/standin/backendserver/backendserver.go
@@ -5,7 +5,7 @@
 //
 // # Usage
 //
-//	s := &backendserver.Server{Service: "avail-svc", Work: work, Queue: slotqueue.New(15, 0), Sampler: fixed, Clock: clock}
+//	s := &backendserver.Server{Service: "avail-svc", Work: work, Queue: slotqueue.New(15, 0), Sampler: fixed, Lifecycle: lifecycle, Clock: clock}
 //	s.Start()
 //	web := &httpserver.Server{Listen: "127.0.0.1:0", Handler: s.Handler()}
 //	defer s.Close()
@@ -140,7 +140,7 @@
 }
 
 func (s *Server) handleRun(c echo.Context) error {
-	r, err := parseRun(c)
+	r, err := parseRequest(c)
 	if err != nil {
 		return refuse(c, http.StatusBadRequest, "bad_request", err.Error())
 	}
@@ -172,7 +172,7 @@
 	if s.CrashOn != "" && bytes.Contains(r.body, []byte(s.CrashOn)) {
 		s.Exit(CrashStatus)
 	}
-	answer, errRun := s.work(ctx, r, plan, targets)
+	answer, errRun := s.runWork(ctx, r, plan, targets)
 	record.State = endState(ctx, errRun)
 	s.recordEnd(ctx, record)
 	switch record.State {
@@ -245,13 +245,13 @@
 	return st.serviceTime
 }
 
-func (s *Server) work(ctx context.Context, r request, p runPlan, targets []Target) ([]byte, error) {
+func (s *Server) runWork(ctx context.Context, r request, p runPlan, targets []Target) ([]byte, error) {
 	timer := time.NewTimer(p.serviceTime)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
-		return nil, errors.Wrap(ctx.Err(), "working")
+		return nil, errors.Wrap(ctx.Err(), "waiting for the service time")
 	}
 	if p.fail {
 		return nil, errors.New("the failure that was asked for")
--- a/standin/backendserver/wire.go
+++ b/standin/backendserver/wire.go
@@ -49,7 +49,7 @@
 	Kind   string `json:"kind"`
 }
 
-func parseRun(c echo.Context) (request, error) {
+func parseRequest(c echo.Context) (request, error) {
 	body, err := io.ReadAll(c.Request().Body)
 	if err != nil {
 		return request{}, errors.Wrap(err, "reading the request")
@@ -107,7 +107,7 @@
 	return c.Blob(http.StatusOK, echo.MIMEApplicationJSON, body)
 }
 
-// refuse answers a request that was not run, and says so in the outcome header.
+// refuse answers a request that was not run, and sets the outcome header to not_run.
 func refuse(c echo.Context, status int, kind, detail string) error {
 	c.Response().Header().Set(core.HeaderOutcome, cassiatally.OutcomeNotRun.String())
 	return writeProblem(c, status, kind, detail)
