--- a/standin/faultproxy/faultproxy.go
+++ b/standin/faultproxy/faultproxy.go
@@ -258,9 +258,9 @@
 
 // recordFirstData stores the first data of a connection and applies the mode that
 // matches it.
-func (p *Proxy) recordFirstData(l *link, head []byte) {
+func (p *Proxy) recordFirstData(l *link, data []byte) {
 	_ = p.owner.Do(p.ctx, func(s *state) {
-		l.firstData = head
+		l.firstData = data
 		l.apply(s.modeOf(l), false)
 	})
 }
--- a/standin/faultproxy/faultproxy_test.go
+++ b/standin/faultproxy/faultproxy_test.go
@@ -162,7 +162,7 @@
 
 // Guards against a permanently silenced connection that works again when the mode
 // of the proxy changes to pass.
-func TestSilentForGood(t *testing.T) {
+func TestSilentPermanently(t *testing.T) {
 	is := is.New(t)
 	p, conns := startProxy(t)
 	near, far := connect(t, p, conns)
--- a/standin/faultproxy/link.go
+++ b/standin/faultproxy/link.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	chunkSize = 32 << 10
+	chunkBytes = 32 << 10
 	// ringCapacity bounds the data in transit to 2 MiB per direction. A reader that
 	// finds the ring full stops reading, so that the sender sees TCP flow control.
 	ringCapacity = 64
 )
 
 // errCut ends a connection that has reached its byte limit.
-var errCut = errors.New("the connection was cut as asked for")
+var errCut = errors.New("the connection has reached its byte limit")
 
 // link is one connection through the proxy.
 type link struct {
@@ -45,8 +45,8 @@
 	err  error
 }
 
-// pipe forwards one direction of a link.
-type pipe struct {
+// relay forwards one direction of a link.
+type relay struct {
 	from, to net.Conn
 	gate     *gate.Gate
 	bytes    *atomic.Uint64
@@ -92,15 +92,15 @@
 	})
 	defer stop()
 	defer far.Close()
-	up := &pipe{from: l.near, to: far, gate: l.up, bytes: &p.bytesUp, ring: ring.New[chunk](ringCapacity, ring.Wait)}
+	up := &relay{from: l.near, to: far, gate: l.up, bytes: &p.bytesUp, ring: ring.New[chunk](ringCapacity, ring.Wait)}
 	up.onFirstData = func(data []byte) { p.recordFirstData(l, data) }
-	down := &pipe{from: far, to: l.near, gate: l.down, bytes: &p.bytesDown, ring: ring.New[chunk](ringCapacity, ring.Wait)}
+	down := &relay{from: far, to: l.near, gate: l.down, bytes: &p.bytesDown, ring: ring.New[chunk](ringCapacity, ring.Wait)}
 	down.bytesUntilCut = p.cutDownAfterBytes.Load()
 	var wg sync.WaitGroup
-	for _, d := range []*pipe{up, down} {
-		wg.Go(func() { d.read(l.ctx, &p.delay) })
+	for _, r := range []*relay{up, down} {
+		wg.Go(func() { r.read(l.ctx, &p.delay) })
 		wg.Go(func() {
-			if err := d.write(l.ctx); err != nil {
+			if err := r.write(l.ctx); err != nil {
 				l.cancel()
 			}
 		})
@@ -109,16 +109,16 @@
 }
 
 // read pushes data and the end of the connection into the ring.
-func (d *pipe) read(ctx context.Context, delay *atomic.Int64) {
-	buf := make([]byte, chunkSize)
+func (r *relay) read(ctx context.Context, delay *atomic.Int64) {
+	buf := make([]byte, chunkBytes)
 	for {
-		n, err := d.from.Read(buf)
+		n, err := r.from.Read(buf)
 		c := chunk{due: time.Now().Add(time.Duration(delay.Load())), data: append([]byte(nil), buf[:n]...), err: err}
-		if d.onFirstData != nil && n > 0 {
-			d.onFirstData(c.data)
-			d.onFirstData = nil
+		if r.onFirstData != nil && n > 0 {
+			r.onFirstData(c.data)
+			r.onFirstData = nil
 		}
-		if !d.ring.Push(ctx, c) || err != nil {
+		if !r.ring.Push(ctx, c) || err != nil {
 			return
 		}
 	}
@@ -126,21 +126,21 @@
 
 // write forwards data when it is due and the gate is open. It returns an error when
 // both directions of the link have to be closed.
-func (d *pipe) write(ctx context.Context) error {
+func (r *relay) write(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		c, ok := d.ring.Pop(ctx)
+		c, ok := r.ring.Pop(ctx)
 		if !ok {
 			return ctx.Err()
 		}
 		if err := waitUntil(ctx, timer, c.due); err != nil {
 			return err
 		}
-		if err := d.gate.Wait(ctx); err != nil {
+		if err := r.gate.Wait(ctx); err != nil {
 			return err
 		}
-		if err := d.deliver(c); err != nil {
+		if err := r.deliver(c); err != nil {
 			return err
 		}
 		if c.err != nil {
@@ -149,17 +149,17 @@
 	}
 }
 
-func (d *pipe) deliver(c chunk) error {
+func (r *relay) deliver(c chunk) error {
 	if len(c.data) > 0 {
-		cut := d.bytesUntilCut > 0 && int64(len(c.data)) >= d.bytesUntilCut
+		cut := r.bytesUntilCut > 0 && int64(len(c.data)) >= r.bytesUntilCut
 		if cut {
-			c.data = c.data[:d.bytesUntilCut]
+			c.data = c.data[:r.bytesUntilCut]
 		}
-		if _, err := d.to.Write(c.data); err != nil {
+		if _, err := r.to.Write(c.data); err != nil {
 			return errors.Wrap(err, "forwarding data")
 		}
-		d.bytes.Add(uint64(len(c.data)))
-		d.bytesUntilCut -= int64(len(c.data))
+		r.bytes.Add(uint64(len(c.data)))
+		r.bytesUntilCut -= int64(len(c.data))
 		if cut {
 			return errCut
 		}
@@ -170,7 +170,7 @@
 	if !errors.Is(c.err, io.EOF) {
 		return c.err
 	}
-	tcp, ok := d.to.(*net.TCPConn)
+	tcp, ok := r.to.(*net.TCPConn)
 	if !ok {
 		return c.err
 	}
