--- a/standin/faultserver/faultserver.go
+++ b/standin/faultserver/faultserver.go
@@ -40,13 +40,13 @@
 
 // Server owns and controls the proxies of one process.
 type Server struct {
-	owner *owner.Owner[routes]
+	owner *owner.Owner[state]
 }
 
-// routes is owned by the duty of the server.
-type routes struct {
-	proxies map[RouteName]*faultproxy.Proxy
-	links   map[RouteName]*frameproxy.Proxy
+// state is owned by the duty of the server.
+type state struct {
+	routes map[RouteName]*faultproxy.Proxy
+	links  map[RouteName]*frameproxy.Proxy
 }
 
 type addBody struct {
@@ -84,9 +84,9 @@
 
 // New returns a server without routes and links.
 func New() *Server {
-	return &Server{owner: owner.New(&routes{
-		proxies: make(map[RouteName]*faultproxy.Proxy),
-		links:   make(map[RouteName]*frameproxy.Proxy),
+	return &Server{owner: owner.New(&state{
+		routes: make(map[RouteName]*faultproxy.Proxy),
+		links:  make(map[RouteName]*frameproxy.Proxy),
 	}, inboxCapacity)}
 }
 
@@ -94,14 +94,14 @@
 // ctx has ended.
 func (s *Server) Close(ctx context.Context) {
 	var closers []interface{ Close() }
-	_ = s.owner.Do(context.WithoutCancel(ctx), func(r *routes) {
-		for name, p := range r.proxies {
+	_ = s.owner.Do(context.WithoutCancel(ctx), func(st *state) {
+		for name, p := range st.routes {
 			closers = append(closers, p)
-			delete(r.proxies, name)
+			delete(st.routes, name)
 		}
-		for name, p := range r.links {
+		for name, p := range st.links {
 			closers = append(closers, p)
-			delete(r.links, name)
+			delete(st.links, name)
 		}
 	})
 	s.owner.Close()
@@ -110,17 +110,18 @@
 	}
 }
 
-// AddRoute starts a proxy and returns the address on which it listens.
+// AddRoute starts the proxy of a new route and returns the address on which it
+// listens.
 func (s *Server) AddRoute(ctx context.Context, name RouteName, listen string, target cassiatally.Address) (cassiatally.Address, error) {
 	p := &faultproxy.Proxy{Listen: listen, Target: target}
 	if err := p.Start(ctx); err != nil {
 		return "", err
 	}
 	var taken bool
-	err := s.owner.Do(ctx, func(r *routes) {
-		_, taken = r.proxies[name]
+	err := s.owner.Do(ctx, func(st *state) {
+		_, taken = st.routes[name]
 		if !taken {
-			r.proxies[name] = p
+			st.routes[name] = p
 		}
 	})
 	if taken {
@@ -141,17 +142,17 @@
 	e.PUT("/v1/routes/:name", s.handleChange)
 	e.DELETE("/v1/routes/:name", s.handleRemove)
 	e.POST("/v1/links", s.handleAddLink)
-	e.GET("/v1/links/:name", s.handleLink)
+	e.GET("/v1/links/:name", s.handleLinkStatus)
 	e.PUT("/v1/links/:name", s.handleChangeLink)
 	return e
 }
 
 func (s *Server) findRoute(ctx context.Context, name RouteName, remove bool) (*faultproxy.Proxy, error) {
 	var found *faultproxy.Proxy
-	err := s.owner.Do(ctx, func(r *routes) {
-		found = r.proxies[name]
+	err := s.owner.Do(ctx, func(st *state) {
+		found = st.routes[name]
 		if remove {
-			delete(r.proxies, name)
+			delete(st.routes, name)
 		}
 	})
 	if err != nil {
@@ -166,8 +167,8 @@
 func (s *Server) handleList(c echo.Context) error {
 	ctx := c.Request().Context()
 	proxies := make(map[RouteName]*faultproxy.Proxy)
-	err := s.owner.Do(ctx, func(r *routes) {
-		for name, p := range r.proxies {
+	err := s.owner.Do(ctx, func(st *state) {
+		for name, p := range st.routes {
 			proxies[name] = p
 		}
 	})
--- a/standin/faultserver/links.go
+++ b/standin/faultserver/links.go
@@ -46,10 +46,10 @@
 		return httpError(err)
 	}
 	var taken bool
-	err := s.owner.Do(ctx, func(r *routes) {
-		_, taken = r.links[body.Name]
+	err := s.owner.Do(ctx, func(st *state) {
+		_, taken = st.links[body.Name]
 		if !taken {
-			r.links[body.Name] = p
+			st.links[body.Name] = p
 		}
 	})
 	if taken {
@@ -62,7 +62,7 @@
 	return s.answerLink(c, http.StatusCreated, body.Name, p)
 }
 
-func (s *Server) handleLink(c echo.Context) error {
+func (s *Server) handleLinkStatus(c echo.Context) error {
 	name := RouteName(c.Param("name"))
 	p, err := s.findLink(c.Request().Context(), name)
 	if err != nil {
@@ -95,7 +95,7 @@
 
 func (s *Server) findLink(ctx context.Context, name RouteName) (*frameproxy.Proxy, error) {
 	var found *frameproxy.Proxy
-	err := s.owner.Do(ctx, func(r *routes) { found = r.links[name] })
+	err := s.owner.Do(ctx, func(st *state) { found = st.links[name] })
 	if err != nil {
 		return nil, err
 	}
