--- a/standin/frameproxy/frameproxy_test.go
+++ b/standin/frameproxy/frameproxy_test.go
@@ -18,7 +18,7 @@
 
 const testTimeout = 30 * time.Second
 
-// end is one end of a link.
+// linkEnd is one end of a link.
 type linkEnd struct {
 	t     *testing.T
 	conn  *websocket.Conn
--- a/standin/frameproxy/link.go
+++ b/standin/frameproxy/link.go
@@ -147,7 +147,7 @@
 // applyChange changes the faults and returns the frames that were held back.
 func (r *relay) applyChange(c Change) [][]byte {
 	r.faults = r.faults.withChange(c)
-	out := r.encode(r.takeHeld())
+	out := r.encode(r.takeHeldAnswers())
 	if r.heldSheet != nil {
 		out = append(out, r.heldSheet)
 		r.heldSheet = nil
@@ -155,7 +155,7 @@
 	return out
 }
 
-func (r *relay) takeHeld() []cassiatally.Answer {
+func (r *relay) takeHeldAnswers() []cassiatally.Answer {
 	out := r.heldAnswers
 	r.heldAnswers = nil
 	return out
@@ -171,13 +171,13 @@
 		if len(r.heldAnswers) <= lateByAnswers {
 			return nil
 		}
-		return r.takeHeldFirstLast()
+		return r.takeHeldAnswersRotated()
 	}
 	if len(r.heldAnswers) == 0 {
 		r.heldAnswers = append(r.heldAnswers, a)
 		return nil
 	}
-	first := r.takeHeld()[0]
+	first := r.takeHeldAnswers()[0]
 	crossed := []cassiatally.Answer{first, a}
 	crossed[0].ID, crossed[1].ID = a.ID, first.ID
 	if r.faults.answers == ModeSwap {
@@ -186,10 +186,10 @@
 	return append(crossed, first, a)
 }
 
-// takeHeldFirstLast removes the held answers and returns them with the first one
-// moved to the end.
-func (r *relay) takeHeldFirstLast() []cassiatally.Answer {
-	held := r.takeHeld()
+// takeHeldAnswersRotated removes the held answers and returns them with the first
+// one moved to the end.
+func (r *relay) takeHeldAnswersRotated() []cassiatally.Answer {
+	held := r.takeHeldAnswers()
 	return append(held[1:], held[0])
 }
 
