--- a/standin/loadtally/loadtally.go
+++ b/standin/loadtally/loadtally.go
@@ -24,11 +24,11 @@
 )
 
 const (
-	lowestLatency  = 1
-	highestLatency = int64(10 * time.Minute / time.Microsecond)
-	// significantDigits of 3 keep a histogram below 200 KB.
+	minLatencyMicros = 1
+	maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
+	// Three significant digits keep a histogram below 200 KB.
 	significantDigits = 3
-	microsInMilli     = 1000.0
+	microsPerMilli    = 1000.0
 )
 
 // Row holds the counts and latencies of one class in one phase.
@@ -100,9 +100,9 @@
 		c.row.Unknown++
 	}
 	if correct {
-		micros := int64(r.LatencyMS * microsInMilli)
+		micros := int64(r.LatencyMS * microsPerMilli)
 		// The range of the histogram covers every latency that a plan can produce.
-		_ = c.latencies.RecordValue(min(max(micros, lowestLatency), highestLatency))
+		_ = c.latencies.RecordValue(min(max(micros, minLatencyMicros), maxLatencyMicros))
 	}
 }
 
@@ -110,8 +110,8 @@
 // counted.
 func (t *Tally) Rows() []Row {
 	rows := make([]Row, 0, len(t.order))
-	for _, name := range t.order {
-		c := t.cells[name]
+	for _, key := range t.order {
+		c := t.cells[key]
 		row := c.row
 		row.P50 = time.Duration(c.latencies.ValueAtQuantile(50)) * time.Microsecond
 		row.P99 = time.Duration(c.latencies.ValueAtQuantile(99)) * time.Microsecond
@@ -131,15 +131,15 @@
 }
 
 func (t *Tally) cell(p loadplan.PhaseName, class loadplan.ClassName) *cell {
-	name := cellKey{p, class}
-	c := t.cells[name]
+	key := cellKey{p, class}
+	c := t.cells[key]
 	if c == nil {
 		c = &cell{
 			row:       Row{Phase: p, Class: class},
-			latencies: hdrhistogram.New(lowestLatency, highestLatency, significantDigits),
+			latencies: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits),
 		}
-		t.cells[name] = c
-		t.order = append(t.order, name)
+		t.cells[key] = c
+		t.order = append(t.order, key)
 	}
 	return c
 }
