--- a/standin/reconciler/reconciler.go
+++ b/standin/reconciler/reconciler.go
@@ -121,35 +121,35 @@
 func (r *Reconciler) Check(results []core.ReportedResult) Report {
 	report := Report{ReportedResults: len(results), Runs: r.runs, Unfinished: r.unfinished, Outcomes: make(map[string]int)}
 	listedKeys := make(map[cassiatally.Key]bool)
-	for _, t := range results {
-		report.Outcomes[t.Outcome]++
-		runs := r.byRequest[requestKey{t.ID, t.Service, t.Kind}]
-		if t.Key == "" && len(runs) > 1 {
+	for _, result := range results {
+		report.Outcomes[result.Outcome]++
+		runs := r.byRequest[requestKey{result.ID, result.Service, result.Kind}]
+		if result.Key == "" && len(runs) > 1 {
 			report.Repeated++
 		}
-		for _, rule := range violatedRules(t, len(runs)) {
+		for _, rule := range violatedRules(result, len(runs)) {
 			if rule == RuleKeyedRanTwice {
-				listedKeys[t.Key] = true
+				listedKeys[result.Key] = true
 			}
-			report.Violations = append(report.Violations, Violation{Rule: rule, ID: t.ID, Key: t.Key, Class: t.Class, Runs: runs})
+			report.Violations = append(report.Violations, Violation{Rule: rule, ID: result.ID, Key: result.Key, Class: result.Class, Runs: runs})
 		}
 	}
 	report.Violations = append(report.Violations, r.unlistedRepeatedKeys(listedKeys)...)
 	return report
 }
 
-func violatedRules(t core.ReportedResult, runs int) []Rule {
+func violatedRules(result core.ReportedResult, runs int) []Rule {
 	var rules []Rule
-	if (t.Outcome == core.ReportedNotRun || t.LookedUp == core.ReportedNotRun) && runs > 0 {
+	if (result.Outcome == core.ReportedNotRun || result.LookedUp == core.ReportedNotRun) && runs > 0 {
 		rules = append(rules, RuleNotRunButRan)
 	}
-	if t.Key != "" && runs > 1 {
+	if result.Key != "" && runs > 1 {
 		rules = append(rules, RuleKeyedRanTwice)
 	}
-	if (t.Outcome == core.ReportedRan || t.LookedUp == core.ReportedRan) && runs == 0 {
+	if (result.Outcome == core.ReportedRan || result.LookedUp == core.ReportedRan) && runs == 0 {
 		rules = append(rules, RuleRanWithoutRun)
 	}
-	switch t.Fault {
+	switch result.Fault {
 	case core.FaultForeign:
 		rules = append(rules, RuleForeignAnswer)
 	case core.FaultIncomplete, core.FaultCorrupted:
--- a/standin/reconciler/reconciler_test.go
+++ b/standin/reconciler/reconciler_test.go
@@ -9,6 +9,8 @@
 	"github.com/cassiatally/cassiatally/standin/reconciler"
 )
 
+// newRun returns a finished run at booking-svc, or at avail-svc if service is not
+// empty.
 func newRun(record core.RecordID, service string) core.Run {
 	r := core.Run{Record: record, ID: "r1", Kind: "confirm", State: core.RunFinished}
 	r.Service = "booking-svc"
