--- a/standin/loader/loader.go
+++ b/standin/loader/loader.go
@@ -41,7 +41,7 @@
 
 // Results accepts the results one by one.
 type Results interface {
-	Push(ctx context.Context, t core.ReportedResult) bool
+	Push(ctx context.Context, r core.ReportedResult) bool
 }
 
 // Loader runs one plan.
--- a/standin/resultwriter/resultwriter.go
+++ b/standin/resultwriter/resultwriter.go
@@ -1,5 +1,5 @@
-// Package resultwriter writes the results of a load in batches to a file and to a
-// recorder.
+// Package resultwriter sends the results of a load in batches to sinks, such as a
+// file and a recorder.
 //
 // # Usage
 //
@@ -24,8 +24,8 @@
 
 const (
 	inboxCapacity = 8192
-	// batchSize keeps a batch well below the body limit of 1 MiB.
-	batchSize = 500
+	// maxBatchResults keeps a batch well below the body limit of 1 MiB.
+	maxBatchResults = 500
 	// sendTimeout bounds one attempt to send a batch, maxAttempts their number.
 	sendTimeout = 5 * time.Second
 	maxAttempts = 3
@@ -50,7 +50,7 @@
 
 // Push queues a result. It returns false when ctx ends first or the writer is
 // closed.
-func (w *Writer) Push(ctx context.Context, t core.ReportedResult) bool { return w.inbox.Push(ctx, t) }
+func (w *Writer) Push(ctx context.Context, r core.ReportedResult) bool { return w.inbox.Push(ctx, r) }
 
 // Close sends the queued results, ends the duty and returns the first error of a
 // sink.
@@ -68,7 +68,7 @@
 		}
 		batch := w.inbox.TakeAll([]core.ReportedResult{first})
 		for len(batch) > 0 {
-			n := min(len(batch), batchSize)
+			n := min(len(batch), maxBatchResults)
 			w.sendToSinks(ctx, batch[:n])
 			batch = batch[n:]
 		}
