--- a/standin/command/backendcommand/announcement.go
+++ b/standin/command/backendcommand/announcement.go
@@ -59,14 +59,14 @@
 	a.update(ctx, func(v *announcer.Announcement) { v.State = s })
 }
 
-func (a *announcement) setFalseAnnouncement(ctx context.Context, l backendserver.FalseAnnouncement) {
+func (a *announcement) setFalseAnnouncement(ctx context.Context, f backendserver.FalseAnnouncement) {
 	a.update(ctx, func(v *announcer.Announcement) {
 		v.Slots, v.Connections = a.actual.Slots, a.actual.Connections
-		if l.Slots > 0 {
-			v.Slots = l.Slots
+		if f.Slots > 0 {
+			v.Slots = f.Slots
 		}
-		if l.Connections > 0 {
-			v.Connections = l.Connections
+		if f.Connections > 0 {
+			v.Connections = f.Connections
 		}
 	})
 }
