--- a/standin/drainer/drainer.go
+++ b/standin/drainer/drainer.go
@@ -71,10 +71,11 @@
 func (d *Drainer) RunEnded() { d.inbox.Push(context.Background(), eventRunEnded) }
 
 // Drain announces the state draining, and withdraws the backend server once no
-// run is in flight.
+// run is in flight. It returns false when ctx ends first or the drainer is closed.
 func (d *Drainer) Drain(ctx context.Context) bool { return d.inbox.Push(ctx, eventDrain) }
 
-// MarkReady announces the state ready and cancels a drain in progress.
+// MarkReady announces the state ready and cancels a drain in progress. It returns
+// false in the same cases as Drain.
 func (d *Drainer) MarkReady(ctx context.Context) bool { return d.inbox.Push(ctx, eventReady) }
 
 // Drained returns a channel that is closed when the first drain is complete.
