--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -44,8 +44,8 @@
 	// Due is the scheduled time of the request. Latency is measured from it, so that
 	// slow answers are not hidden when the caller falls behind its schedule.
 	Due time.Time
-	// FirstNode is the index of the node that receives the first copy; further copies
-	// go to the following nodes.
+	// FirstNode is the index, modulo the number of nodes, of the node that receives
+	// the first copy; further copies go to the following nodes.
 	FirstNode int
 }
 
