--- a/standin/core/record.go
+++ b/standin/core/record.go
@@ -14,7 +14,8 @@
 	RequestID string
 	// RunToken is the token that a node assigns to a run.
 	RunToken string
-	// Root is the id of a caller's request, shared by all calls of its call chain.
+	// Root is the id that a node assigns to a caller's request; all calls of its call
+	// chain share it.
 	Root string
 	// RunState is the state of a run.
 	RunState string
