--- a/standin/gate/gate.go
+++ b/standin/gate/gate.go
@@ -1,4 +1,4 @@
-// Package gate lets goroutines wait until a condition is switched on.
+// Package gate lets goroutines wait until a gate is opened.
 //
 // # Usage
 //
