--- a/standin/httpserver/httpserver.go
+++ b/standin/httpserver/httpserver.go
@@ -29,7 +29,7 @@
 	"github.com/cassiatally/cassiatally/cassiatally"
 )
 
-// bodyLimit is cassiatally.MaxBody in the format of the echo middleware.
+// bodyLimit is cassiatally.MaxBodyBytes in the format of the echo middleware.
 const bodyLimit = "1M"
 
 // closeGrace bounds the wait of Close for requests in flight. It exceeds the 5 s
