--- a/standin/reporter/reporter.go
+++ b/standin/reporter/reporter.go
@@ -1,6 +1,7 @@
 // Package reporter sends the ends of runs to a recorder asynchronously, so that a
-// run does not occupy its slot while its end is being sent. Starts are sent
-// synchronously elsewhere, since a run must not start before its record is stored.
+// run does not occupy its slot while its end is being sent. The backend
+// server sends starts synchronously, since a run must not start before its record
+// is stored.
 //
 // # Usage
 //
