--- a/standin/main.go
+++ b/standin/main.go
@@ -1,4 +1,5 @@
-// Command cassiatally-standin is described in README.md.
+// Command cassiatally-standin runs the stand-ins for the systems around
+// cassiatally. It is described in README.md.
 package main
 
 import (
