--- a/standin/backendserver/backendserver.go
+++ b/standin/backendserver/backendserver.go
@@ -251,7 +251,7 @@
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
-		return nil, errors.Wrap(ctx.Err(), "waiting for the service time")
+		return nil, errors.Wrap(ctx.Err(), "working")
 	}
 	if p.fail {
 		return nil, errors.New("the failure that was asked for")
