--- a/standin/loadtally/loadtally.go
+++ b/standin/loadtally/loadtally.go
@@ -26,7 +26,7 @@
 const (
 	minLatencyMicros = 1
 	maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
-	// Three significant digits keep a histogram below 200 KB.
+	// significantDigits is the precision: 3 digits keep a histogram below 200 KB.
 	significantDigits = 3
 	microsPerMilli    = 1000.0
 )
