--- a/standin/faultserver/faultserver.go
+++ b/standin/faultserver/faultserver.go
@@ -166,17 +166,17 @@
 
 func (s *Server) handleList(c echo.Context) error {
 	ctx := c.Request().Context()
-	proxies := make(map[RouteName]*faultproxy.Proxy)
+	routes := make(map[RouteName]*faultproxy.Proxy)
 	err := s.owner.Do(ctx, func(st *state) {
 		for name, p := range st.routes {
-			proxies[name] = p
+			routes[name] = p
 		}
 	})
 	if err != nil {
 		return httpError(err)
 	}
 	body := routesBody{Routes: []routeBody{}}
-	for name, p := range proxies {
+	for name, p := range routes {
 		route, err := describeRoute(ctx, name, p)
 		if err != nil {
 			return httpError(err)
