--- a/bench/command/runcommand/report.go
+++ b/bench/command/runcommand/report.go
@@ -26,7 +26,7 @@
 	folderPermissions = 0o755
 )
 
-// report writes the results of one run.
+// report writes the results of one run of the command.
 type report struct {
 	options      *Options
 	experimenter *experimenter.Experimenter
@@ -142,18 +142,18 @@
 // writeMachine writes the range of load averages at the beginning of scenarios, and
 // warnings when the machine or the load may have distorted the results.
 func (r *report) writeMachine(w io.Writer) {
-	least, most := machine.LoadAverage(-1), machine.LoadAverage(0)
+	lowest, highest := machine.LoadAverage(-1), machine.LoadAverage(0)
 	unsent := 0
 	for _, o := range r.observations {
-		if least < 0 || o.LoadAverage < least {
-			least = o.LoadAverage
+		if lowest < 0 || o.LoadAverage < lowest {
+			lowest = o.LoadAverage
 		}
-		most = max(most, o.LoadAverage)
+		highest = max(highest, o.LoadAverage)
 		unsent += o.Unsent
 	}
 	cores := machine.Machine{}.Cores()
-	fmt.Fprintf(w, "machine:  %d cores, shared; load average %.1f to %.1f before scenarios; processes of the trial have GOMAXPROCS=2\n", cores, float64(least), float64(most))
-	if float64(most) > float64(cores) {
+	fmt.Fprintf(w, "machine:  %d cores, shared; load average %.1f to %.1f before scenarios; processes of the trial have GOMAXPROCS=2\n", cores, float64(lowest), float64(highest))
+	if float64(highest) > float64(cores) {
 		fmt.Fprintln(w, "warning:  the load average was above the number of cores; latencies are those of a busy machine")
 	}
 	if unsent > 0 {
--- a/bench/command/runcommand/runcommand.go
+++ b/bench/command/runcommand/runcommand.go
@@ -36,7 +36,7 @@
 	defaultCallerTimeout = 2 * time.Second
 	quickCallerTimeout   = time.Second
 	// previousMode is the mode with the node program of an earlier commit.
-	previousMode observation.Mode = "previous"
+	previousMode observation.ModeName = "previous"
 )
 
 // Options are the flags of the command and its environment.
@@ -145,7 +145,7 @@
 	var modes []experimenter.Mode
 	for _, c := range valid {
 		if len(o.Controls) == 0 || slices.Contains(o.Controls, string(c)) {
-			modes = append(modes, experimenter.Mode{Name: observation.Mode(c), Control: c})
+			modes = append(modes, experimenter.Mode{Name: observation.ModeName(c), Control: c})
 		}
 	}
 	for _, c := range o.Controls {
--- a/bench/experimenter/experimenter.go
+++ b/bench/experimenter/experimenter.go
@@ -31,16 +31,17 @@
 	"github.com/cassiatally/cassiatally/standin/core"
 )
 
-// maxStarts bounds the attempts to start a fleet.
-const maxStarts = 3
+// maxStartAttempts bounds the attempts to start a fleet.
+const maxStartAttempts = 3
 
 var errFleetNotStarted = errors.New("the fleet did not start")
 
 // Mode is one configuration of the nodes that is compared with others.
 type Mode struct {
-	Name    observation.Mode
+	Name    observation.ModeName
 	Control deployer.ControlMode
-	// NodeBin is the folder of the node program; empty for the one of this commit.
+	// NodeBin is the folder of the node program; empty for that of the commit under
+	// test.
 	NodeBin string
 }
 
@@ -87,12 +88,12 @@
 // runGroup runs scenarios on one fleet. It tries again when the fleet does not
 // start, since another program of the machine can take a reserved port.
 func (e *Experimenter) runGroup(ctx context.Context, m Mode, group []scenario.Scenario) ([]observation.Observation, error) {
-	for tries := 1; ; tries++ {
+	for attempt := 1; ; attempt++ {
 		observations, err := e.tryGroup(ctx, m, group)
-		if !errors.Is(err, errFleetNotStarted) || tries == maxStarts || ctx.Err() != nil {
+		if !errors.Is(err, errFleetNotStarted) || attempt == maxStartAttempts || ctx.Err() != nil {
 			return observations, err
 		}
-		e.Logger.Warn("fleet not started", "mode", m.Name, "tries", tries, "err", err)
+		e.Logger.Warn("fleet not started", "mode", m.Name, "tries", attempt, "err", err)
 	}
 }
 
@@ -184,7 +185,7 @@
 	return errEvents
 }
 
-// runEvents is the duty that makes the changes of a scenario at their times.
+// runEvents is the duty that applies the events of a scenario at their times.
 func runEvents(ctx context.Context, f *deployer.Fleet, events []scenario.Event) error {
 	start := time.Now()
 	var err error
--- a/bench/measurer/measurer.go
+++ b/bench/measurer/measurer.go
@@ -24,13 +24,14 @@
 
 const (
 	// Recovery is looked for in windows of recoveryWindow, which begin recoveryStep
-	// apart. recoveredFraction is the fraction of the level before the disturbance
-	// that counts as recovered.
+	// apart. A window counts as recovered when its fraction of requests in time is at
+	// least recoveredFraction of that before the disturbance.
 	recoveryWindow    = 500 * time.Millisecond
 	recoveryStep      = 100 * time.Millisecond
 	recoveredFraction = 0.95
-	// transientFraction is the first part of a phase. Goodput leaves it out, since
-	// the queues still hold requests of the load before.
+	// transientFraction is the first part of a phase, as a fraction of its length.
+	// Goodput and the reference for recovery leave it out, since the queues still hold
+	// requests of the load before.
 	transientFraction = 0.2
 )
 
@@ -43,7 +44,7 @@
 // Value is the result of one measure with one mode.
 type Value struct {
 	Measure ID
-	Mode    observation.Mode
+	Mode    observation.ModeName
 	// Number is NaN when the measure could not be computed.
 	Number float64
 }
@@ -146,13 +147,13 @@
 // othersInTime returns the fraction of the requests of all but the flooding rank
 // that were completed in time while the least urgent work floods.
 func (m *Measurer) othersInTime(o observation.Observation) float64 {
-	least := cassiatally.Rank(0)
+	leastUrgent := cassiatally.Rank(0)
 	for _, c := range m.Deployment.Classes {
-		least = max(least, m.Policies.Rank(c.Service, c.Kind))
+		leastUrgent = max(leastUrgent, m.Policies.Rank(c.Service, c.Kind))
 	}
 	var tally tally
 	for _, r := range o.Requests {
-		if r.Phase == string(scenario.PhaseFloodLeast) && m.rankOf(r) != least {
+		if r.Phase == string(scenario.PhaseFloodLeast) && m.rankOf(r) != leastUrgent {
 			tally.add(r)
 		}
 	}
@@ -160,24 +161,25 @@
 }
 
 // keptShare returns the goodput of a rank in a flood of the most urgent work,
-// divided by its stated share, or by its demand when that is smaller.
+// divided by its reserved share of the capacity, or by its demand when that is
+// smaller.
 func (m *Measurer) keptShare(o observation.Observation, rank cassiatally.Rank) float64 {
 	for _, p := range o.Scenario.Phases {
 		if p.Name != scenario.PhaseFloodUrgent {
 			continue
 		}
-		stated := min(loadplan.Rate(m.Policies.Share(rank))*o.Scenario.Capacity, m.rankDemand(p, rank))
-		if stated <= 0 {
+		expected := min(loadplan.Rate(m.Policies.Share(rank))*o.Scenario.Capacity, m.rankDemand(p, rank))
+		if expected <= 0 {
 			return math.NaN()
 		}
-		own := o
-		own.Requests = nil
+		rankOnly := o
+		rankOnly.Requests = nil
 		for _, r := range o.Requests {
 			if m.rankOf(r) == rank {
-				own.Requests = append(own.Requests, r)
+				rankOnly.Requests = append(rankOnly.Requests, r)
 			}
 		}
-		return Goodput(own, p.Name, stated)
+		return Goodput(rankOnly, p.Name, expected)
 	}
 	return math.NaN()
 }
@@ -197,7 +199,7 @@
 }
 
 // Goodput returns the rate at which complete answers arrived in time in a phase,
-// divided by the capacity. The first part of the phase is left out.
+// divided by the capacity. The transient part of the phase is left out.
 func Goodput(o observation.Observation, phase loadplan.PhaseName, capacity loadplan.Rate) float64 {
 	from, to := o.Scenario.PhaseSpan(phase)
 	from += time.Duration(float64(to-from) * transientFraction)
@@ -222,10 +224,10 @@
 // is then a lower bound.
 func RecoveryTime(o observation.Observation) time.Duration {
 	from, to := o.Scenario.PhaseSpan(scenario.PhaseBefore)
-	level := fractionInTime(o, from+time.Duration(float64(to-from)*transientFraction), to) * recoveredFraction
+	threshold := fractionInTime(o, from+time.Duration(float64(to-from)*transientFraction), to) * recoveredFraction
 	_, end := o.Scenario.PhaseSpan(scenario.PhaseAfter)
 	for at := o.Scenario.DisturbanceEnd; at+recoveryWindow <= end; at += recoveryStep {
-		if part := fractionInTime(o, at, at+recoveryWindow); part >= level && part > 0 {
+		if fraction := fractionInTime(o, at, at+recoveryWindow); fraction >= threshold && fraction > 0 {
 			return at - o.Scenario.DisturbanceEnd
 		}
 	}
@@ -233,16 +235,16 @@
 }
 
 // StableRecoveryTime returns the time from the end of a disturbance after which no
-// observed window falls below the level that RecoveryTime looks for. It is longer
-// than RecoveryTime when the level is reached and lost again, as after the loss of
-// a data centre, whose effect begins late.
+// observed window falls below the threshold that RecoveryTime looks for. It is
+// longer than RecoveryTime when the threshold is reached and missed again, as after
+// the loss of a data centre, whose effect begins late.
 func StableRecoveryTime(o observation.Observation) time.Duration {
 	from, to := o.Scenario.PhaseSpan(scenario.PhaseBefore)
-	level := fractionInTime(o, from+time.Duration(float64(to-from)*transientFraction), to) * recoveredFraction
+	threshold := fractionInTime(o, from+time.Duration(float64(to-from)*transientFraction), to) * recoveredFraction
 	_, end := o.Scenario.PhaseSpan(scenario.PhaseAfter)
 	recovered := end
 	for at := end - recoveryWindow; at >= o.Scenario.DisturbanceEnd; at -= recoveryStep {
-		if part := fractionInTime(o, at, at+recoveryWindow); part < level || part == 0 {
+		if fraction := fractionInTime(o, at, at+recoveryWindow); fraction < threshold || fraction == 0 {
 			break
 		}
 		recovered = at
--- a/bench/measurer/measurer_test.go
+++ b/bench/measurer/measurer_test.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestStableRecoveryTime guards against reporting a level that is lost again as a
-// lasting recovery.
+// TestStableRecoveryTime guards against reporting a recovery that does not last:
+// windows reach the threshold and miss it again.
 func TestStableRecoveryTime(t *testing.T) {
 	phases := []loadplan.Phase{phase(scenario.PhaseBefore, 2), phase(scenario.PhaseAfter, 4)}
 	before := steadyResults("before", "usual", 0, 2*time.Second, true)
@@ -247,7 +247,7 @@
 	flood.Rates = map[loadplan.ClassName]loadplan.Rate{"urgent": 400, "usual": 40, "least": 5}
 	results := [][]collector.Result{
 		steadyResults("flood_urgent", "urgent", 0, 5*time.Second, true),
-		// Rank 1 gets 10 a second; its stated share is 20 a second.
+		// Rank 1 gets 10 a second; its reserved share is 20 a second.
 		{},
 	}
 	for at := time.Duration(0); at < 5*time.Second; at += 100 * time.Millisecond {
--- a/bench/observation/observation.go
+++ b/bench/observation/observation.go
@@ -17,12 +17,13 @@
 	"github.com/cassiatally/cassiatally/standin/loadplan"
 )
 
-// Mode names a column of the results: a control mode, or the previous release.
-type Mode string
+// ModeName names a column of the results: a control mode, or the mode with the node
+// program of an earlier commit.
+type ModeName string
 
 // Observation is the raw data of one scenario with one mode.
 type Observation struct {
-	Mode     Mode
+	Mode     ModeName
 	Scenario scenario.Scenario
 	Start    time.Time
 	// Requests has the result of each request that ended.
@@ -53,7 +54,7 @@
 	Busy             Usage
 }
 
-// Usage has the highest value of any node for each resource.
+// Usage holds, for each resource, the highest usage of any node.
 type Usage struct {
 	// Cores is the processor time used, in cores.
 	Cores         float64
@@ -62,7 +63,7 @@
 	ControlBytesPerSecond float64
 }
 
-// Due returns when a request was due to be sent, since the start.
+// Due returns when a request was due to be sent, as the time since Start.
 func (o Observation) Due(r collector.Result) time.Duration {
 	return r.At.Sub(o.Start) - time.Duration(r.LatencyMS*float64(time.Millisecond))
 }
--- a/bench/scorecard/scorecard.go
+++ b/bench/scorecard/scorecard.go
@@ -29,7 +29,7 @@
 
 // Card is a table with one row for each measure and one column for each mode.
 type Card struct {
-	Modes []observation.Mode
+	Modes []observation.ModeName
 
 	values []measurer.Value
 }
@@ -72,7 +72,7 @@
 	return names
 }
 
-func (c *Card) cell(d measurer.Definition, m observation.Mode) string {
+func (c *Card) cell(d measurer.Definition, m observation.ModeName) string {
 	n := c.number(d.ID, m)
 	if math.IsNaN(n) || d.Bound == measurer.NoTarget {
 		return formatNumber(n)
@@ -81,7 +81,7 @@
 }
 
 // number returns the last result of a measure, or NaN.
-func (c *Card) number(id measurer.ID, m observation.Mode) float64 {
+func (c *Card) number(id measurer.ID, m observation.ModeName) float64 {
 	n := math.NaN()
 	for _, v := range c.values {
 		if v.Measure == id && v.Mode == m {
--- a/bench/scorecard/scorecard_test.go
+++ b/bench/scorecard/scorecard_test.go
@@ -14,7 +14,7 @@
 // TestTargetResults guards against printing a measure that was not run as met, and
 // against results in the column of another mode.
 func TestTargetResults(t *testing.T) {
-	c := &Card{Modes: []observation.Mode{"off", "adaptive"}}
+	c := &Card{Modes: []observation.ModeName{"off", "adaptive"}}
 	c.Add([]measurer.Value{
 		{Measure: measurer.Goodput3, Mode: "adaptive", Number: 0.97},
 		{Measure: measurer.Goodput3, Mode: "off", Number: 0.5},
