--- a/bench/collector/collector.go
+++ b/bench/collector/collector.go
@@ -43,19 +43,19 @@
 }
 
 // Push adds a result with the present time; it waits while the ring is full.
-func (c *Collector) Push(ctx context.Context, t core.ReportedResult) bool {
-	r := Result{ReportedResult: t, At: time.Now()}
+func (c *Collector) Push(ctx context.Context, reported core.ReportedResult) bool {
+	r := Result{ReportedResult: reported, At: time.Now()}
 	err := c.owner.Do(ctx, func(s *state) {
 		s.results = append(s.results, r)
-		if t.InTime {
+		if reported.InTime {
 			s.inTime++
 		}
 	})
 	return err == nil
 }
 
-// Count returns the number of results and how many of them are complete answers
-// that arrived in time.
+// Count returns the number of results so far and how many of them are complete
+// answers that arrived in time.
 func (c *Collector) Count(ctx context.Context) (all, inTime int) {
 	_ = c.owner.Do(ctx, func(s *state) { all, inTime = len(s.results), s.inTime })
 	return all, inTime
--- a/bench/command/democommand/democommand.go
+++ b/bench/command/democommand/democommand.go
@@ -40,9 +40,9 @@
 	calmLoad     = 0.5
 	overloadLoad = 3
 
-	startTime    = 5 * time.Second
-	calmTime     = 12 * time.Second
-	overloadTime = 15 * time.Second
+	startDuration    = 5 * time.Second
+	calmDuration     = 12 * time.Second
+	overloadDuration = 15 * time.Second
 	// recorderDelay is the time in which backend servers send the ends of their runs
 	// to the recorder.
 	recorderDelay = time.Second
@@ -141,10 +141,10 @@
 func (d *demo) runLoad(ctx context.Context) error {
 	dep := d.fleet.Deployment
 	phases := []loadplan.Phase{
-		{Name: "start", Duration: startTime, Rates: dep.MixedRates(startLoad)},
-		{Name: "calm", Duration: calmTime, Rates: dep.MixedRates(calmLoad)},
-		{Name: "overload", Duration: overloadTime, Rates: dep.MixedRates(overloadLoad)},
-		{Name: "after", Duration: calmTime, Rates: dep.MixedRates(calmLoad)},
+		{Name: "start", Duration: startDuration, Rates: dep.MixedRates(startLoad)},
+		{Name: "calm", Duration: calmDuration, Rates: dep.MixedRates(calmLoad)},
+		{Name: "overload", Duration: overloadDuration, Rates: dep.MixedRates(overloadLoad)},
+		{Name: "after", Duration: calmDuration, Rates: dep.MixedRates(calmLoad)},
 	}
 	t := &trial.Trial{Fleet: d.fleet, Name: "demo", Seed: d.Seed, Progress: d.logger}
 	results := t.Run(ctx, phases)
@@ -158,7 +158,7 @@
 		return err
 	}
 	table := ranktable.New(d.book)
-	table.Add(results.Reports())
+	table.Add(results.ReportedResults())
 	table.AddRuns(runs)
 	bottleneck := dep.BottleneckService()
 	fmt.Fprintf(
@@ -171,7 +171,7 @@
 	if results.Unsent > 0 {
 		fmt.Fprintf(d.Env.Stdout, "The load could not send %d requests in time.\n", results.Unsent)
 	}
-	return d.reconcile(results.Reports(), runs)
+	return d.reconcile(results.ReportedResults(), runs)
 }
 
 func (d *demo) readRuns(ctx context.Context) ([]core.Run, error) {
@@ -181,7 +181,7 @@
 	return client.Runs(ctx)
 }
 
-// reconcile compares the outcomes reported to callers with the runs at backend
+// reconcile compares the results reported to callers with the runs at backend
 // servers, and prints the violations.
 func (d *demo) reconcile(reported []core.ReportedResult, runs []core.Run) error {
 	report := reconciler.New(runs).Check(reported)
--- a/bench/trial/trial.go
+++ b/bench/trial/trial.go
@@ -62,13 +62,13 @@
 			Nodes: t.Fleet.CallerURLs(), Client: &http.Client{Transport: transport}, Latency: t.Fleet.Deployment.CallerLatency,
 		},
 	}
-	reporting, stop := context.WithCancel(ctx)
+	progressCtx, stopProgress := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	results := Results{Start: time.Now()}
-	wg.Go(func() { t.logProgress(reporting, c, results.Start, phases) })
+	wg.Go(func() { t.logProgress(progressCtx, c, results.Start, phases) })
 	rows := l.Run(ctx)
 	results.End = time.Now()
-	stop()
+	stopProgress()
 	wg.Wait()
 	for _, r := range rows {
 		results.Unsent += r.Unsent
@@ -93,7 +93,8 @@
 	}
 }
 
-// phaseAt returns the phase at a time since the start, or "end" after the last.
+// phaseAt returns the phase that the load is in at a time since its start, or "end"
+// after the last.
 func phaseAt(phases []loadplan.Phase, at time.Duration) loadplan.PhaseName {
 	for _, p := range phases {
 		if at < p.Duration {
@@ -104,11 +105,12 @@
 	return "end"
 }
 
-// Reports returns the outcomes that were reported to callers, without their times.
-func (r Results) Reports() []core.ReportedResult {
-	reports := make([]core.ReportedResult, 0, len(r.Requests))
+// ReportedResults returns the results that were reported to callers, without their
+// times.
+func (r Results) ReportedResults() []core.ReportedResult {
+	reported := make([]core.ReportedResult, 0, len(r.Requests))
 	for _, result := range r.Requests {
-		reports = append(reports, result.ReportedResult)
+		reported = append(reported, result.ReportedResult)
 	}
-	return reports
+	return reported
 }
