--- a/bench/ranktable/ranktable.go
+++ b/bench/ranktable/ranktable.go
@@ -54,10 +54,10 @@
 
 // Table counts results by phase and rank.
 type Table struct {
-	book  *sheetbook.Book
-	rows  map[rowKey]*Row
-	order []rowKey
-	keyOf map[core.RequestID]rowKey
+	book     *sheetbook.Book
+	rows     map[rowKey]*Row
+	order    []rowKey
+	rowKeyOf map[core.RequestID]rowKey
 }
 
 type rowKey struct {
@@ -74,14 +74,14 @@
 
 // New returns an empty table for the ranks of a sheet.
 func New(book *sheetbook.Book) *Table {
-	return &Table{book: book, rows: make(map[rowKey]*Row), keyOf: make(map[core.RequestID]rowKey)}
+	return &Table{book: book, rows: make(map[rowKey]*Row), rowKeyOf: make(map[core.RequestID]rowKey)}
 }
 
-// Add counts the outcomes that were reported to callers.
+// Add counts the results that were reported to callers.
 func (t *Table) Add(reported []core.ReportedResult) {
 	for _, r := range reported {
 		row := t.row(rowKey{r.Phase, t.book.Rank(r.Service, r.Kind)})
-		t.keyOf[r.ID] = rowKey{row.Phase, row.Rank}
+		t.rowKeyOf[r.ID] = rowKey{row.Phase, row.Rank}
 		row.add(r)
 	}
 }
@@ -91,7 +91,7 @@
 func (t *Table) AddRuns(runs []core.Run) {
 	seen := make(map[call]int)
 	for _, r := range runs {
-		key, counted := t.keyOf[r.ID]
+		key, counted := t.rowKeyOf[r.ID]
 		if !counted || t.book.Idempotent(r.Service, r.Kind) {
 			continue
 		}
@@ -106,9 +106,9 @@
 // Rows returns the rows in the order of phases, then ranks.
 func (t *Table) Rows() []*Row {
 	phases := make(map[string]int)
-	for _, n := range t.order {
-		if _, ok := phases[n.phase]; !ok {
-			phases[n.phase] = len(phases)
+	for _, key := range t.order {
+		if _, ok := phases[key.phase]; !ok {
+			phases[key.phase] = len(phases)
 		}
 	}
 	rows := slices.Collect(maps.Values(t.rows))
@@ -137,12 +137,12 @@
 	return out.Print(w, true)
 }
 
-func (t *Table) row(n rowKey) *Row {
-	r := t.rows[n]
+func (t *Table) row(key rowKey) *Row {
+	r := t.rows[key]
 	if r == nil {
-		r = &Row{Phase: n.phase, Rank: n.rank}
-		t.rows[n] = r
-		t.order = append(t.order, n)
+		r = &Row{Phase: key.phase, Rank: key.rank}
+		t.rows[key] = r
+		t.order = append(t.order, key)
 	}
 	return r
 }
