--- a/bench/costmeter/costmeter.go
+++ b/bench/costmeter/costmeter.go
@@ -32,14 +32,15 @@
 
 const (
 	// loadPerPath is the load through nodes and, at the same time, that of direct
-	// calls, so that noise of the machine affects both alike. The total is 0.5.
+	// calls, so that noise of the machine affects both alike. The total is 0.5 of the
+	// capacity.
 	loadPerPath = 0.25
 	// saturatingLoad is the load of the run that measures capacity.
 	saturatingLoad = 1.5
-	// directTimeout is longer than the run that measures capacity, so that none of
+	// callTimeout is longer than the run that measures capacity, so that none of
 	// its requests times out.
-	directTimeout = 20 * time.Second
-	workers       = 2000
+	callTimeout = 20 * time.Second
+	workers     = 2000
 	// settleTime lets the shard assignment and the first rounds of gossip finish
 	// before the reading at rest.
 	settleTime = 2 * time.Second
@@ -67,7 +68,8 @@
 	controlBytes uint64
 }
 
-// Measure takes about four times the length of a phase and 2 s.
+// Measure measures a fleet that has just started. It takes about four times Length
+// and 2 s.
 func (m *Meter) Measure(ctx context.Context) (*observation.Cost, error) {
 	var c observation.Cost
 	var err error
@@ -90,12 +92,12 @@
 // and compares the latencies.
 func (m *Meter) measureAddedLatency(ctx context.Context, c *observation.Cost) {
 	var wg sync.WaitGroup
-	var through, direct []collector.Result
-	wg.Go(func() { through = m.runLoad(ctx, "through", loadPerPath, false) })
+	var throughNodes, direct []collector.Result
+	wg.Go(func() { throughNodes = m.runLoad(ctx, "through", loadPerPath, false) })
 	wg.Go(func() { direct = m.runLoad(ctx, "direct", loadPerPath, true) })
 	wg.Wait()
-	c.AddedP50 = quantile(through, median) - quantile(direct, median)
-	c.AddedP99 = quantile(through, p99) - quantile(direct, p99)
+	c.AddedP50 = quantile(throughNodes, median) - quantile(direct, median)
+	c.AddedP99 = quantile(throughNodes, p99) - quantile(direct, p99)
 }
 
 // measureCapacity returns the rate of complete answers in a saturating direct run,
@@ -118,7 +120,7 @@
 	d := m.Fleet.Deployment
 	class := loadplan.Class{
 		Name: "deep", Service: d.Bottleneck, Kind: d.DeepestKind, Tenants: []cassiatally.Tenant{"bench"},
-		Timeout: directTimeout, Target: directTimeout, Resend: loadplan.Resend{Policy: loadplan.ResendNone},
+		Timeout: callTimeout, Target: callTimeout, Resend: loadplan.Resend{Policy: loadplan.ResendNone},
 	}
 	plan := loadplan.Plan{
 		Classes: []loadplan.Class{class},
@@ -178,7 +180,7 @@
 }
 
 func (m *Meter) readNodes(ctx context.Context) ([]nodeReading, error) {
-	var all []nodeReading
+	var readings []nodeReading
 	for _, e := range m.Fleet.Endpoints {
 		status, err := m.Fleet.Status.Read(ctx, e.AdminAddress)
 		if err != nil {
@@ -188,9 +190,9 @@
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, nodeReading{usage, status.Traffic.ControlSent + status.Traffic.ControlReceived})
+		readings = append(readings, nodeReading{usage, status.Traffic.ControlSent + status.Traffic.ControlReceived})
 	}
-	return all, nil
+	return readings, nil
 }
 
 // quantile returns a quantile of the latencies of complete answers.
