--- a/bench/capacitymeter/capacitymeter.go
+++ b/bench/capacitymeter/capacitymeter.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	m := &capacitymeter.Meter{Launcher: l, Bin: "bin", Folder: dir, Length: 10 * time.Second}
+//	m := &capacitymeter.Meter{Launcher: l, Bin: "bin", Folder: dir, Length: 10 * time.Second, DataCentres: 1}
 //	row, err := m.Measure(ctx, 32)
 package capacitymeter
 
@@ -26,8 +26,8 @@
 )
 
 const (
-	// services is the number of services that the endpoints are spread over.
-	services = 8
+	// serviceCount is the number of services that the endpoints are spread over.
+	serviceCount = 8
 	// joinTimeout bounds the time until all nodes have discovered each other.
 	joinTimeout      = 3 * time.Minute
 	pollInterval     = 200 * time.Millisecond
@@ -35,7 +35,7 @@
 	requestTimeout   = 5 * time.Second
 )
 
-// Row is the resource usage of a node in a fleet of a size. Cores,
+// Row is the resource usage per node in a fleet of one size. Cores,
 // SentBytesPerSecond and ReceivedBytesPerSecond are means over all nodes;
 // MaxResident and MaxSentBytesPerSecond are the highest of any node. Sent and
 // received bytes are those of control traffic.
@@ -59,9 +59,11 @@
 	Bin      string
 	// Folder is where the settings files of the nodes are written.
 	Folder string
-	// Length is the time that the fleet rests, and then that of the reading.
+	// Length is the time that the fleet rests before it is measured, and the time
+	// over which it is measured.
 	Length time.Duration
-	// DataCentres is the number of data centres that a fleet is spread over.
+	// DataCentres is the number of data centres that a fleet is spread over, at least
+	// 1.
 	DataCentres int
 
 	client http.Client
@@ -73,7 +75,7 @@
 	backendAddress string
 }
 
-type reading struct {
+type nodeReading struct {
 	usage                    processmeter.Usage
 	sentBytes, receivedBytes uint64
 }
@@ -81,13 +83,13 @@
 // Measure starts a fleet of the size, reads it, and kills its processes.
 func (m *Meter) Measure(ctx context.Context, size int) (Row, error) {
 	m.client.Timeout = requestTimeout
-	log, err := m.launch(ctx, fmt.Sprintf("log-%d", size), "cassiatally-standin", "log")
+	logStandin, err := m.launch(ctx, fmt.Sprintf("log-%d", size), "cassiatally-standin", "log")
 	if err != nil {
 		return Row{}, err
 	}
-	defer log.Kill()
+	defer logStandin.Kill()
 	started := time.Now()
-	nodes, err := m.startNodes(ctx, size, log.Listening["address"])
+	nodes, err := m.startNodes(ctx, size, logStandin.Listening["address"])
 	defer func() {
 		for _, n := range nodes {
 			n.process.Kill()
@@ -106,7 +108,7 @@
 	if err := m.readUsage(ctx, nodes, &row); err != nil {
 		return Row{}, err
 	}
-	row.Appends, err = m.readAppends(ctx, log.Listening["address"])
+	row.Appends, err = m.readAppends(ctx, logStandin.Listening["address"])
 	return row, err
 }
 
@@ -114,13 +116,13 @@
 	return m.Launcher.Launch(ctx, launcher.Program{Name: name, Path: filepath.Join(m.Bin, program), Args: args})
 }
 
-func (m *Meter) startNodes(ctx context.Context, size int, log string) ([]node, error) {
+func (m *Meter) startNodes(ctx context.Context, size int, logAddress string) ([]node, error) {
 	var nodes []node
 	seed := ""
 	for i := range size {
 		name := fmt.Sprintf("n%d-%d", size, i)
 		file := filepath.Join(m.Folder, name+".yaml")
-		if err := os.WriteFile(file, []byte(nodeSettings(name, m.dataCentre(i), log, seed)), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(nodeSettings(name, m.dataCentre(i), logAddress, seed)), 0o600); err != nil {
 			return nodes, errors.Wrap(err, "writing the settings of a node")
 		}
 		p, err := m.launch(ctx, name, "cassiatally-node", "--settings", file)
@@ -137,10 +139,10 @@
 
 func (m *Meter) dataCentre(i int) string { return fmt.Sprintf("dc-%d", i%m.DataCentres) }
 
-func nodeSettings(name, dataCentre, log, seed string) string {
+func nodeSettings(name, dataCentre, logAddress, seed string) string {
 	const anyPort = `"127.0.0.1:0"`
 	text := fmt.Sprintf("node: {id: %s, data_centre: %s}\nlisten: {callers: %s, backend: %s, links: %s, admin: %s}\nlog: {address: %q}\nlog_level: warn\n",
-		name, dataCentre, anyPort, anyPort, anyPort, anyPort, "http://"+log)
+		name, dataCentre, anyPort, anyPort, anyPort, anyPort, "http://"+logAddress)
 	if seed != "" {
 		text += fmt.Sprintf("seeds: [%q]\n", seed)
 	}
@@ -174,7 +176,7 @@
 }
 
 func (m *Meter) announceBackend(ctx context.Context, i int, n node) {
-	body := fmt.Sprintf(`{"service":"service-%d","address":"127.0.0.1:9","slots":100,"connections":700,"state":"ready"}`, i%services)
+	body := fmt.Sprintf(`{"service":"service-%d","address":"127.0.0.1:9","slots":100,"connections":700,"state":"ready"}`, i%serviceCount)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+n.backendAddress+"/v1/announce", bytes.NewBufferString(body))
 	if err != nil {
 		return
@@ -250,9 +252,9 @@
 	return nil
 }
 
-func (m *Meter) readNodes(ctx context.Context, nodes []node) ([]reading, error) {
+func (m *Meter) readNodes(ctx context.Context, nodes []node) ([]nodeReading, error) {
 	reader := &statusreader.Reader{Client: &m.client}
-	out := make([]reading, len(nodes))
+	readings := make([]nodeReading, len(nodes))
 	for i, n := range nodes {
 		s, err := reader.Read(ctx, n.adminAddress)
 		if err != nil {
@@ -262,13 +264,13 @@
 		if err != nil {
 			return nil, err
 		}
-		out[i] = reading{usage: usage, sentBytes: s.Traffic.ControlSent, receivedBytes: s.Traffic.ControlReceived}
+		readings[i] = nodeReading{usage: usage, sentBytes: s.Traffic.ControlSent, receivedBytes: s.Traffic.ControlReceived}
 	}
-	return out, nil
+	return readings, nil
 }
 
-func (m *Meter) readAppends(ctx context.Context, log string) (int, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+log+"/v1/control", nil)
+func (m *Meter) readAppends(ctx context.Context, logAddress string) (int, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+logAddress+"/v1/control", nil)
 	if err != nil {
 		return 0, errors.Wrap(err, "building a request")
 	}
