--- a/bench/launcher/launcher.go
+++ b/bench/launcher/launcher.go
@@ -112,7 +112,7 @@
 
 // Launch starts a process and waits until it prints the addresses it listens on.
 func (l *Launcher) Launch(ctx context.Context, program Program) (*Process, error) {
-	p, err := l.prepare(ctx, program)
+	p, err := l.newProcess(ctx, program)
 	if err != nil {
 		return nil, err
 	}
@@ -126,7 +126,7 @@
 	return p, p.waitListening(ctx)
 }
 
-func (l *Launcher) prepare(ctx context.Context, program Program) (*Process, error) {
+func (l *Launcher) newProcess(ctx context.Context, program Program) (*Process, error) {
 	logFile, err := os.OpenFile(filepath.Join(l.Logs, program.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, errors.Wrap(err, "opening the log of a process")
@@ -144,7 +144,7 @@
 	}, nil
 }
 
-// SmallHostEnvironment returns the environment of processes on small hosts: two
-// processors each. It also keeps the schedulers of 35 Go programs from taking 10
-// threads each on the shared machine.
+// SmallHostEnvironment returns environment entries that limit each Go process to two
+// processors, as on a small host. This also keeps the schedulers of 35 Go programs
+// from taking 10 threads each on the shared machine.
 func SmallHostEnvironment() []string { return []string{"GOMAXPROCS=2"} }
--- a/bench/processmeter/processmeter.go
+++ b/bench/processmeter/processmeter.go
@@ -35,8 +35,8 @@
 // Bytes is a size in memory.
 type Bytes uint64
 
-// Usage is the processor time that a process has used in all and its resident
-// memory, both read at one time.
+// Usage is the processor time that a process has used since its start and its
+// resident memory, both read at one time.
 type Usage struct {
 	At            time.Time
 	ProcessorTime time.Duration
--- a/bench/processmeter/processmeter_test.go
+++ b/bench/processmeter/processmeter_test.go
@@ -15,9 +15,9 @@
 func TestParseProcessorTime(t *testing.T) {
 	const rest = " S 1 2 3 4 5 6 7 8 9 10 150 50 0 0 20 0"
 	cases := map[string]struct {
-		text   string
-		want   time.Duration
-		failed bool
+		text    string
+		want    time.Duration
+		wantErr bool
 	}{
 		"plain name":              {"7 (node)" + rest, 2 * time.Second, false},
 		"name with blank":         {"7 (a node)" + rest, 2 * time.Second, false},
@@ -28,7 +28,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			got, err := parseProcessorTime(c.text)
-			is.Equal(err != nil, c.failed)
+			is.Equal(err != nil, c.wantErr)
 			is.Equal(got, c.want)
 		})
 	}
