--- a/bench/deployment/deployment.go
+++ b/bench/deployment/deployment.go
@@ -24,8 +24,8 @@
 	// second, which is more than the shared machine can drive.
 	bottleneckServiceTime = 20 * time.Millisecond
 	otherServiceTime      = 2 * time.Millisecond
-	// dataCentreLatency is the delay of links between nodes, one way.
-	dataCentreLatency = time.Millisecond
+	// linkLatency is the delay of links between nodes, one way.
+	linkLatency = time.Millisecond
 )
 
 // Name names a deployment.
@@ -97,7 +97,7 @@
 		return d, errors.Newf("%q is no deployment; there are %v", n, Names())
 	}
 	d.Name = n
-	d.LinkLatency = dataCentreLatency
+	d.LinkLatency = linkLatency
 	for i := range d.Services {
 		s := &d.Services[i]
 		s.ServiceTime = time.Duration(float64(otherServiceTime) / scale)
--- a/bench/deployment/named.go
+++ b/bench/deployment/named.go
@@ -17,8 +17,8 @@
 
 // newClass returns a class whose callers time out at the target time and then send
 // the request again.
-func newClass(name, service, kind string, target time.Duration, part float64) Class {
-	return Class{Weight: part, Class: loadplan.Class{
+func newClass(name, service, kind string, target time.Duration, weight float64) Class {
+	return Class{Weight: weight, Class: loadplan.Class{
 		Name: loadplan.ClassName(name), Service: cassiatally.Service(service), Kind: cassiatally.WorkKind(kind),
 		Tenants: []cassiatally.Tenant{"north", "south", "east", "west"},
 		Timeout: target, Target: target, BodySize: kibi,
@@ -28,8 +28,8 @@
 
 // newKeyedClass returns a class of work that is not idempotent, whose requests
 // carry idempotency keys.
-func newKeyedClass(name, service, kind string, target time.Duration, part float64) Class {
-	c := newClass(name, service, kind, target, part)
+func newKeyedClass(name, service, kind string, target time.Duration, weight float64) Class {
+	c := newClass(name, service, kind, target, weight)
 	c.Keyed = true
 	c.Lookups = maxLookups
 	return c
--- a/bench/scenario/scenario.go
+++ b/bench/scenario/scenario.go
@@ -58,16 +58,17 @@
 	// class during a flood of the most urgent work.
 	floodLoad = 4
 	otherLoad = 0.4
-	// slowFactor is how much longer requests of the slowed service take.
+	// slowFactor is the factor by which the service time of the bottleneck service
+	// grows in the scenario slow.
 	slowFactor = 5
 )
 
 const (
-	warmTime     = 3 * time.Second
-	cooldownTime = 2 * time.Second
-	// extraAfterTime lengthens the phase after a disturbance, in which a recovery is
-	// looked for.
-	extraAfterTime = 3 * time.Second
+	warmDuration     = 3 * time.Second
+	cooldownDuration = 2 * time.Second
+	// extraAfterDuration lengthens the phase after a disturbance, in which a recovery
+	// is looked for.
+	extraAfterDuration = 3 * time.Second
 )
 
 // DemandMultiples returns the loads of the demand scenario in multiples of the
@@ -83,8 +84,8 @@
 // service's endpoints are multiplied.
 func unequalFactors() []float64 { return []float64{0.5, 0.75, 1.5, 2} }
 
-// Names returns all scenarios in the order in which they run. The one that loses
-// a data centre is last, since the lost processes are not started again.
+// Names returns all scenarios in the order in which they run. The one that kills a
+// data centre is last, since the lost processes are not started again.
 func Names() []Name { return []Name{Cost, Demand, Flood, Surge, Slow, Unequal, Lost} }
 
 // Event is a change to the fleet, made at a time since the start of the load.
@@ -159,12 +160,12 @@
 	return loadplan.Phase{Name: n, Duration: d, Rates: c.Deployment.MixedRates(load)}
 }
 
-func (c Catalogue) warm() loadplan.Phase { return c.phase(PhaseWarm, c.short(warmTime), warmLoad) }
+func (c Catalogue) warm() loadplan.Phase { return c.phase(PhaseWarm, c.short(warmDuration), warmLoad) }
 
 // cooldown returns a phase of low load after the measured phase of the name. Its
 // name has to be unique, since ids of requests contain the name of their phase.
 func (c Catalogue) cooldown(after loadplan.PhaseName) loadplan.Phase {
-	return c.phase(PhaseCooldown+"_"+after, c.short(cooldownTime), warmLoad)
+	return c.phase(PhaseCooldown+"_"+after, c.short(cooldownDuration), warmLoad)
 }
 
 // short halves a duration in the quick profile.
@@ -209,7 +210,7 @@
 		c.warm(),
 		c.phase(PhaseBefore, c.Length, steady),
 		c.phase(PhaseDisturbed, c.Length, disturbed),
-		c.phase(PhaseAfter, c.Length+c.short(extraAfterTime), steady),
+		c.phase(PhaseAfter, c.Length+c.short(extraAfterDuration), steady),
 	}
 	_, s.DisturbanceEnd = s.PhaseSpan(PhaseDisturbed)
 }
@@ -267,7 +268,7 @@
 	s.Phases = []loadplan.Phase{
 		c.warm(),
 		c.phase(PhaseBefore, c.Length, lostLoad),
-		c.phase(PhaseAfter, c.Length+c.short(extraAfterTime), lostLoad),
+		c.phase(PhaseAfter, c.Length+c.short(extraAfterDuration), lostLoad),
 	}
 	_, s.DisturbanceEnd = s.PhaseSpan(PhaseBefore)
 	s.Events = []Event{{At: s.DisturbanceEnd, Do: killLastDataCentre}}
