--- a/bench/deployer/deployer.go
+++ b/bench/deployer/deployer.go
@@ -53,7 +53,8 @@
 type Deployer struct {
 	Deployment deployment.Deployment
 	Launcher   *launcher.Launcher
-	// Bin is the folder of the programs, NodeBin that of the node program.
+	// Bin is the folder of the programs, NodeBin that of the node program; when it is
+	// empty, the node program is taken from Bin.
 	Bin     string
 	NodeBin string
 	Control ControlMode
@@ -132,7 +133,7 @@
 // proxy in front of each link address when links are delayed.
 func (d *Deployer) prepareLinks(ctx context.Context, f *Fleet) error {
 	// Consecutive endpoints are in different data centres, so that a caller that
-	// sends a request again, to the next node, leaves a lost data centre.
+	// sends a request again, to the next node, does not stay in a lost data centre.
 	for _, s := range d.Deployment.Services {
 		for _, dc := range d.Deployment.DataCentres {
 			id := cassiatally.NodeID(fmt.Sprintf("%s-%s", s.Name, dc))
--- a/bench/deployer/fleet.go
+++ b/bench/deployer/fleet.go
@@ -113,7 +113,8 @@
 	})
 }
 
-// WaitSheet waits until a version of the sheet is in force on each node.
+// WaitSheet waits until the version of the sheet, or a later one, is in force on
+// each node.
 func (f *Fleet) WaitSheet(ctx context.Context, v cassiatally.Version) error {
 	return f.waitAll(ctx, "have the sheet in force", func(ctx context.Context, e *Endpoint) bool {
 		s, err := f.Status.Read(ctx, e.AdminAddress)
--- a/bench/sheetbook/sheetbook.go
+++ b/bench/sheetbook/sheetbook.go
@@ -59,6 +59,6 @@
 	return err == nil && p.Idempotent
 }
 
-// Share returns the share of capacity that a rank keeps when more urgent work
-// floods the service.
+// Share returns the reserved share of a rank: the share of capacity that it keeps
+// when more urgent work floods the service.
 func (b *Book) Share(r cassiatally.Rank) cassiatally.Share { return b.ranker.Shares()[r] }
